--- a/bench/baselines.py
+++ b/bench/baselines.py
@@ -3,7 +3,11 @@
 import heapq
 
 from gypsumusher_policy import LoadReport, Refuse, RoleChange, Start
-from gypsumusher_policy.shifting import all_splits, count_roles, served_share
+from gypsumusher_policy.role_planner import (
+    all_role_counts,
+    count_roles,
+    served_fraction,
+)
 
 MAX_ATTEMPTS = 3
 
@@ -144,10 +148,10 @@
             return []
         old = count_roles(roles)
         best, best_key = old, None
-        for split in all_splits(len(roles)):
+        for split in all_role_counts(len(roles)):
             if split.prefill + split.mixed == 0 or split.decode + split.mixed == 0:
                 continue
-            key = (served_share(split, prefill, decode), split == old)
+            key = (served_fraction(split, prefill, decode), split == old)
             if best_key is None or key > best_key:
                 best, best_key = split, key
         wanted = []
--- a/bench/simulation.py
+++ b/bench/simulation.py
@@ -16,7 +16,7 @@
 from hosts import Host
 from virtual_time import VirtualClock
 
-from gypsumusher_policy import Quarantine, RolloutPlanner, Scheduler, ShiftPlanner
+from gypsumusher_policy import Quarantine, RoleChangePlanner, RolloutPlanner, Scheduler
 from gypsumusher_policy.rollout import engines_needed
 
 GOSSIP_S = 0.25
@@ -157,7 +157,7 @@
             self.hosts.append(host)
         self.planner = None
         if self.decider == "policy":
-            self.planner = ShiftPlanner(self.user.policy)
+            self.planner = RoleChangePlanner(self.user.policy)
         if self.decider == "eager":
             self.planner = EagerPlanner(self.user.policy)
 
@@ -224,8 +224,8 @@
         def act():
             quarantine = host.scheduler.quarantine
             for fingerprint, reason in convictions.items():
-                if quarantine.verdict(fingerprint) != "convicted":
-                    quarantine.convict(fingerprint, reason, self.clock.now_s)
+                if quarantine.status_of(fingerprint) != "convicted":
+                    quarantine.add_conviction(fingerprint, reason, self.clock.now_s)
 
         self.clock.after(GOSSIP_LAG_S, act)
 
--- a/libs/daemon/gypsumusher_daemon/crashing_requests.py
+++ b/libs/daemon/gypsumusher_daemon/crashing_requests.py
@@ -54,7 +54,7 @@
             if isinstance(result, Success):
                 for item in result.unwrap().items:
                     reason = str(item.value.get("reason", "convicted"))
-                    self._quarantine.convict(item.name, reason)
+                    self._quarantine.add_conviction(item.name, reason)
                 return
             await asyncio.sleep(RETRY_S)
 
@@ -69,7 +69,7 @@
         suspicions = {
             fingerprint: [endpoint]
             for fingerprint in running
-            if self._quarantine.verdict(fingerprint) == "suspect"
+            if self._quarantine.status_of(fingerprint) == "suspect"
         }
         if suspicions:
             message = {
@@ -96,16 +96,16 @@
 
     def _settle_later(self):
         """Judge what has been lost once the other hosts have had time to tell."""
-        if self._quarantine.accused:
+        if self._quarantine.pending_crashes:
             self._track(asyncio.ensure_future(self._settle()))
 
     async def _settle(self):
         # A timer may fire a little before its time by the other clock, and nobody
         # would ask again: suspects would wait for a verdict for good.
-        while self._quarantine.accused:
-            due_s = self._quarantine.settling_until_s
+        while self._quarantine.pending_crashes:
+            due_s = self._quarantine.evaluation_due_s
             await asyncio.sleep(max(SETTLE_POLL_S, due_s - self._clock()))
-            self._publish(self._quarantine.settle(self._clock()))
+            self._publish(self._quarantine.evaluate_due(self._clock()))
         self._on_settled()
 
     def hear_convictions(self, convictions):
@@ -117,8 +117,8 @@
             Reason by fingerprint.
         """
         for fingerprint, reason in convictions.items():
-            if self._quarantine.verdict(fingerprint) != "convicted":
-                self._quarantine.convict(fingerprint, reason)
+            if self._quarantine.status_of(fingerprint) != "convicted":
+                self._quarantine.add_conviction(fingerprint, reason)
 
     def _publish(self, convicted):
         """Make convictions known to peers and let the platform keep them."""
--- a/libs/daemon/gypsumusher_daemon/exchanges.py
+++ b/libs/daemon/gypsumusher_daemon/exchanges.py
@@ -229,7 +229,7 @@
         second engine that is already dying, and two engines lost convict it for
         good. An engine that has just answered, and dies with the suspect, is proof.
         """
-        verdict = self.context.quarantine.verdict(self.call.fingerprint)
+        verdict = self.context.quarantine.status_of(self.call.fingerprint)
         if verdict != "suspect":
             return True
         return await self.context.sessions.responds(endpoint.address)
--- a/libs/daemon/gypsumusher_daemon/host.py
+++ b/libs/daemon/gypsumusher_daemon/host.py
@@ -35,7 +35,7 @@
 from gypsumusher_objects import BudgetLimits, CallBudget, PlatformClient
 from gypsumusher_peers import KeyRing
 from gypsumusher_policy import Quarantine
-from gypsumusher_policy.quarantine import SETTLE_S
+from gypsumusher_policy.quarantine import EVALUATION_DELAY_S
 
 __all__ = ["EntryHost"]
 
@@ -71,7 +71,7 @@
         self.state = STARTING
         self.metrics = Metrics()
         self.history = RequestsLog()
-        self.quarantine = Quarantine(SETTLE_S)
+        self.quarantine = Quarantine(EVALUATION_DELAY_S)
         self.tasks = set()
         self.servers = []
         self._loops = []
--- a/libs/daemon/gypsumusher_daemon/host_views.py
+++ b/libs/daemon/gypsumusher_daemon/host_views.py
@@ -5,7 +5,7 @@
 from gypsumusher_daemon.cell import LEAVING, LIVE
 from gypsumusher_daemon.cell_members import cell_of
 from gypsumusher_daemon.readiness import STOPPED
-from gypsumusher_policy import choose_cell, choose_entry
+from gypsumusher_policy import choose_cell, choose_entry_hosts
 
 __all__ = ["entry_answer", "explain", "models_answer", "status"]
 
@@ -23,7 +23,7 @@
     zone = arguments.get("zone") or host.zone
     count = host.settings["callers.entry_count"]
     chosen = []
-    for name in choose_entry(hosts, cell, zone, count):
+    for name in choose_entry_hosts(hosts, cell, zone, count):
         record = host.directory.records[name]
         chosen.append({"name": name, "address": record.callers, "zone": record.zone})
     return {"hosts": chosen, "max_age_s": host.settings["callers.entry_max_age_s"]}
--- a/libs/daemon/gypsumusher_daemon/stewards.py
+++ b/libs/daemon/gypsumusher_daemon/stewards.py
@@ -18,8 +18,8 @@
 from gypsumusher_daemon.effects import MachineRunner
 from gypsumusher_daemon.order_sender import OrderSender
 from gypsumusher_policy import (
+    RoleChangePlanner,
     RolloutPlanner,
-    ShiftPlanner,
 )
 from gypsumusher_policy.rollout import engines_needed
 
@@ -278,7 +278,7 @@
         host = self._host
         policy = deployment_policy(name, section)
         if stewardship.shift is None:
-            stewardship.shift = ShiftPlanner(policy)
+            stewardship.shift = RoleChangePlanner(policy)
             stewardship.rollout = RolloutPlanner(policy)
         stewardship.shift.policy = policy
         stewardship.rollout.policy = policy
--- a/libs/policy/gypsumusher_policy/__init__.py
+++ b/libs/policy/gypsumusher_policy/__init__.py
@@ -1,18 +1,18 @@
 """Decisions under load: admit, queue, refuse, place, shift."""
 
-from gypsumusher_policy.cells import choose_cell, choose_entry
+from gypsumusher_policy.cells import choose_cell, choose_entry_hosts
 from gypsumusher_policy.quarantine import Quarantine
+from gypsumusher_policy.role_planner import RoleChangePlanner
 from gypsumusher_policy.rollout import RolloutPlanner
 from gypsumusher_policy.scheduler import Scheduler
-from gypsumusher_policy.shifting import ShiftPlanner
 from gypsumusher_policy.types import (
     Action,
     ClassPolicy,
-    Convict,
+    Conviction,
     DeploymentPolicy,
     Endpoint,
-    LoadOrder,
     LoadReport,
+    ModelLoadOrder,
     Refuse,
     Request,
     RoleChange,
@@ -22,19 +22,19 @@
 __all__ = [
     "Action",
     "ClassPolicy",
-    "Convict",
+    "Conviction",
     "DeploymentPolicy",
     "Endpoint",
-    "LoadOrder",
     "LoadReport",
+    "ModelLoadOrder",
     "Quarantine",
     "Refuse",
     "Request",
     "RoleChange",
+    "RoleChangePlanner",
     "RolloutPlanner",
     "Scheduler",
-    "ShiftPlanner",
     "Start",
     "choose_cell",
-    "choose_entry",
+    "choose_entry_hosts",
 ]
--- a/libs/policy/gypsumusher_policy/cells.py
+++ b/libs/policy/gypsumusher_policy/cells.py
@@ -44,7 +44,7 @@
     return [name for _, _, name in ranked[:size]]
 
 
-def choose_entry(
+def choose_entry_hosts(
     hosts: list[tuple[str, str]], cell: list[str], zone: str, count: int
 ) -> list[str]:
     """Choose the addresses that a caller in ``zone`` is told to use.
--- a/libs/policy/gypsumusher_policy/placement.py
+++ b/libs/policy/gypsumusher_policy/placement.py
@@ -8,7 +8,7 @@
 
 from bisect import bisect_left, insort
 
-from gypsumusher_policy.endpoints import EndpointState
+from gypsumusher_policy.endpoint_state import EndpointState
 from gypsumusher_policy.queueing import LaneKey
 
 # Endpoints looked at for one decision, from the least loaded on.
--- a/libs/policy/gypsumusher_policy/quarantine.py
+++ b/libs/policy/gypsumusher_policy/quarantine.py
@@ -3,7 +3,7 @@
 from collections import OrderedDict
 from collections.abc import Collection
 
-from gypsumusher_policy.types import Convict
+from gypsumusher_policy.types import Conviction
 
 # Crashes that convict: one may be the engine's own fault, and a third would cost
 # another engine.
@@ -23,7 +23,7 @@
 # Time for which a verdict waits for the other hosts' word of the same crash, in
 # seconds: three hosts noted one crash within 0.04 s of each other beside twelve busy
 # loops on eight cores.
-SETTLE_S = 0.5
+EVALUATION_DELAY_S = 0.5
 
 
 class Quarantine:
@@ -41,23 +41,23 @@
 
     Parameters
     ----------
-    settle_s : float
+    evaluation_delay_s : float
         How long a verdict waits for the other hosts' word of the same crash, in
         seconds; 0 where no other host has a word.
 
     Attributes
     ----------
-    settling_until_s : float
+    evaluation_due_s : float
         When all crashes that are known by now can be judged.
-    accused : dict of str to (float, dict of str to bool)
+    pending_crashes : dict of str to (float, dict of str to bool)
         When each crash may be judged, and whether each content that it might convict
         was past its prompt, by endpoint.
     """
 
-    def __init__(self, settle_s: float = 0.0):
-        self.settle_s = settle_s
-        self.settling_until_s = 0.0
-        self.accused = {}
+    def __init__(self, evaluation_delay_s: float = 0.0):
+        self.evaluation_delay_s = evaluation_delay_s
+        self.evaluation_due_s = 0.0
+        self.pending_crashes = {}
         self.running = {}
         self.past_prompt = {}
         self.suspects = OrderedDict()
@@ -87,13 +87,13 @@
         if completed:
             self.suspects.pop(fingerprint, None)
 
-    def on_crash(self, now_s: float, endpoint: str) -> list[Convict]:
+    def on_crash(self, now_s: float, endpoint: str) -> list[Conviction]:
         """Note that an endpoint crashed; return the contents convicted by it."""
         lost = {name: [endpoint] for name in self.running.pop(endpoint, {})}
         past_prompt = self.past_prompt.pop(endpoint, set())
         return self.on_suspicions(now_s, lost, past_prompt)
 
-    def convict(self, fingerprint: str, reason: str, now_s: float = 0.0) -> None:
+    def add_conviction(self, fingerprint: str, reason: str, now_s: float = 0.0) -> None:
         """Take over a conviction, from a peer or the platform."""
         self.convictions[fingerprint] = reason
         lost = [endpoint for endpoint, _ in self.suspects.pop(fingerprint, ())]
@@ -103,7 +103,7 @@
             if {endpoint for endpoint, _ in crashes} <= set(lost):
                 del self.suspects[other]
 
-    def verdict(self, fingerprint: str) -> str:
+    def status_of(self, fingerprint: str) -> str:
         """Return ``"clear"``, ``"suspect"`` or ``"convicted"``."""
         if fingerprint in self.convictions:
             return "convicted"
@@ -123,7 +123,7 @@
         now_s: float,
         suspicions: dict[str, list[str]],
         past_prompt: Collection[str] = (),
-    ) -> list[Convict]:
+    ) -> list[Conviction]:
         """Take over suspicions, own or a peer's; return the contents convicted by them.
 
         Parameters
@@ -143,19 +143,19 @@
             if not self._is_due(fingerprint, is_past_prompt):
                 continue
             for endpoint in endpoints:
-                due_s = now_s + self.settle_s
-                _, names = self.accused.setdefault(endpoint, (due_s, {}))
+                due_s = now_s + self.evaluation_delay_s
+                _, names = self.pending_crashes.setdefault(endpoint, (due_s, {}))
                 names[fingerprint] = is_past_prompt
-                self.settling_until_s = max(self.settling_until_s, due_s)
-        return self.settle(now_s)
+                self.evaluation_due_s = max(self.evaluation_due_s, due_s)
+        return self.evaluate_due(now_s)
 
-    def settle(self, now_s: float) -> list[Convict]:
+    def evaluate_due(self, now_s: float) -> list[Conviction]:
         """Judge the crashes of which all hosts have had time to tell."""
         convicts = []
-        for endpoint, (due_s, names) in list(self.accused.items()):
+        for endpoint, (due_s, names) in list(self.pending_crashes.items()):
             if due_s > now_s:
                 continue
-            del self.accused[endpoint]
+            del self.pending_crashes[endpoint]
             convict = self._judge(now_s, names)
             if convict is not None:
                 convicts.append(convict)
@@ -175,8 +175,8 @@
         if len(found) != 1:
             return None
         lost = tuple(endpoint for endpoint, _ in self.suspects[found[0]])
-        self.convict(found[0], "crashed " + ",".join(lost), now_s)
-        return Convict(found[0], lost)
+        self.add_conviction(found[0], "crashed " + ",".join(lost), now_s)
+        return Conviction(found[0], lost)
 
     def _is_due(self, fingerprint, is_past_prompt):
         crashes = len(self.suspects.get(fingerprint, ()))
--- a/libs/policy/gypsumusher_policy/shifting.py
+++ b/libs/policy/gypsumusher_policy/role_planner.py
@@ -21,7 +21,7 @@
 WAIT_SHARE = 0.7
 
 
-class Split(NamedTuple):
+class RoleCounts(NamedTuple):
     """Number of engines of each role."""
 
     prefill: int
@@ -46,12 +46,12 @@
     decode_s: float
 
 
-def served_share(split: Split, prefill: float, decode: float) -> float:
+def served_fraction(split: RoleCounts, prefill: float, decode: float) -> float:
     """Return which share of the demand a split can serve; above 1 there is spare.
 
     Parameters
     ----------
-    split : Split
+    split : RoleCounts
         Engines by role.
     prefill, decode : float
         Demand, in engines.
@@ -63,7 +63,7 @@
     return min(prompts, tokens, both)
 
 
-def lost_s(split: Split, demand: Demand, slack_s: float) -> float:
+def late_work_s(split: RoleCounts, demand: Demand, slack_s: float) -> float:
     """Return the work that will be too late within the horizon, in engine seconds.
 
     Work that waits is still on time, so that a swing which the queues can bear costs
@@ -71,7 +71,7 @@
 
     Parameters
     ----------
-    split : Split
+    split : RoleCounts
         Engines by role.
     demand : Demand
         Arriving and waiting work, thought to go on as it is.
@@ -97,27 +97,29 @@
     return worst * total
 
 
-def all_splits(engines: int) -> list[Split]:
+def all_role_counts(engines: int) -> list[RoleCounts]:
     """Return every split of a number of engines over the three roles."""
     splits = []
     for prefill in range(engines + 1):
         for decode in range(engines - prefill + 1):
-            splits.append(Split(prefill, decode, engines - prefill - decode))
+            splits.append(RoleCounts(prefill, decode, engines - prefill - decode))
     return splits
 
 
-def count_roles(roles: dict[str, str]) -> Split:
+def count_roles(roles: dict[str, str]) -> RoleCounts:
     """Return how many engines have each role."""
     names = list(roles.values())
-    return Split(names.count("prefill"), names.count("decode"), names.count("mixed"))
+    return RoleCounts(
+        names.count("prefill"), names.count("decode"), names.count("mixed")
+    )
 
 
-def changes_between(old: Split, new: Split) -> int:
+def n_role_changes(old: RoleCounts, new: RoleCounts) -> int:
     """Return the role changes that lead from one split to another."""
     return sum(max(0, after - before) for before, after in zip(old, new))
 
 
-def served_demand(demands: list[dict], engines: int) -> Demand:
+def demand_within_capacity(demands: list[dict], engines: int) -> Demand:
     """Return the demand that the fleet will come to serve.
 
     Classes are served in the order of their rank. When they want more than there is,
@@ -146,7 +148,7 @@
     return Demand(*total)
 
 
-class ShiftPlanner:
+class RoleChangePlanner:
     """Plans the role changes of one deployment; its steward asks it.
 
     Parameters
@@ -183,7 +185,7 @@
         # everything, and the first change may already be enough.
         if not self.policy.shifting or busy or not demands:
             return []
-        demand = served_demand(demands, len(roles))
+        demand = demand_within_capacity(demands, len(roles))
         old = count_roles(roles)
         new = self._best(old, demand)
         if new == old:
@@ -198,12 +200,12 @@
         policy = self.policy
         cost_s = policy.role_change_s + policy.role_change_price_s + DRAIN_S
         slack_s = self._slack_s()
-        best, best_s = old, lost_s(old, demand, slack_s)
+        best, best_s = old, late_work_s(old, demand, slack_s)
         if best_s <= cost_s:
             return old
-        for split in all_splits(sum(old)):
-            total_s = lost_s(split, demand, slack_s)
-            total_s += changes_between(old, split) * cost_s
+        for split in all_role_counts(sum(old)):
+            total_s = late_work_s(split, demand, slack_s)
+            total_s += n_role_changes(old, split) * cost_s
             if total_s < best_s - 1e-9:
                 best, best_s = split, total_s
         return best
--- a/libs/policy/gypsumusher_policy/rollout.py
+++ b/libs/policy/gypsumusher_policy/rollout.py
@@ -2,7 +2,7 @@
 
 import math
 
-from gypsumusher_policy.types import DeploymentPolicy, LoadOrder
+from gypsumusher_policy.types import DeploymentPolicy, ModelLoadOrder
 
 # Share of an engine that demand may fill: above it, queues grow at each burst.
 FULL_SHARE = 0.85
@@ -27,7 +27,7 @@
         target: tuple[str, str],
         need_engines: int,
         busy: set[str],
-    ) -> list[LoadOrder]:
+    ) -> list[ModelLoadOrder]:
         """Return the loads to order now.
 
         Parameters
@@ -45,7 +45,7 @@
 
         Returns
         -------
-        list of LoadOrder
+        list of ModelLoadOrder
             Empty engines first, which take nothing away, then the least loaded.
         """
         waiting, serving = [], 0
@@ -68,7 +68,7 @@
             if serves and serving - 1 < need_engines:
                 break
             serving -= serves
-            orders.append(LoadOrder(name, *target))
+            orders.append(ModelLoadOrder(name, *target))
         return orders
 
 
--- a/libs/policy/gypsumusher_policy/scheduler.py
+++ b/libs/policy/gypsumusher_policy/scheduler.py
@@ -4,22 +4,22 @@
 
 from gypsumusher_policy import admission
 from gypsumusher_policy.admission import Capacity, Work
-from gypsumusher_policy.cache_table import CacheTable
-from gypsumusher_policy.draws import make_draw
-from gypsumusher_policy.endpoints import REFUSED_PAUSE_S, EndpointState
-from gypsumusher_policy.flights import Flight
-from gypsumusher_policy.forecast import DemandMeter
-from gypsumusher_policy.outputs import OutputEstimate
+from gypsumusher_policy.arrival_rates import DemandMeter
+from gypsumusher_policy.endpoint_state import REFUSED_PAUSE_S, EndpointState
+from gypsumusher_policy.in_flight import Flight
+from gypsumusher_policy.output_length import OutputEstimate
 from gypsumusher_policy.placement import (
     EndpointIndex,
     has_decode_room,
     has_prefill_room,
     score,
 )
-from gypsumusher_policy.promises import Promises
+from gypsumusher_policy.prefix_index import CacheTable
 from gypsumusher_policy.queueing import Queued, RequestQueue
-from gypsumusher_policy.retries import RetryBudget, may_retry
-from gypsumusher_policy.suspects import SuspectList, host_turn, own_engine
+from gypsumusher_policy.random_source import make_draw
+from gypsumusher_policy.retry_budget import RetryBudget, may_retry
+from gypsumusher_policy.retry_reservations import Promises
+from gypsumusher_policy.suspect_scheduling import SuspectList, host_turn, own_engine
 from gypsumusher_policy.types import (
     Action,
     DeploymentPolicy,
@@ -406,7 +406,7 @@
     def _verdict(self, flight):
         if self.quarantine is None:
             return "clear"
-        return self.quarantine.verdict(flight.request.fingerprint)
+        return self.quarantine.status_of(flight.request.fingerprint)
 
     def _suspect_engines(self):
         rows = self.index.by_role
@@ -504,7 +504,7 @@
             actions.append(self._note_refusal(now_s, refusal))
         flight = self.suspects.first(now_s)
         # While a crash is being judged, one of the suspects is about to be convicted.
-        if flight is None or self.quarantine.accused:
+        if flight is None or self.quarantine.pending_crashes:
             return actions
         state = self._suspect_endpoint(now_s, flight)
         if state is None:
--- a/libs/policy/gypsumusher_policy/types.py
+++ b/libs/policy/gypsumusher_policy/types.py
@@ -231,7 +231,7 @@
     role: str
 
 
-class LoadOrder(NamedTuple):
+class ModelLoadOrder(NamedTuple):
     """Order: load a version of a model on an endpoint."""
 
     endpoint: str
@@ -239,7 +239,7 @@
     version: str
 
 
-class Convict(NamedTuple):
+class Conviction(NamedTuple):
     """Verdict: this content crashes engines and is refused for good."""
 
     fingerprint: str
--- a/libs/policy/tests/test_decisions_cost.py
+++ b/libs/policy/tests/test_decision_cost.py
@@ -1,9 +1,9 @@
 """A decision's work grows no worse than the logarithm of a cell's replicas."""
 
 from gypsumusher_policy import Endpoint
-from gypsumusher_policy.cache_table import CacheTable
-from gypsumusher_policy.endpoints import EndpointState
+from gypsumusher_policy.endpoint_state import EndpointState
 from gypsumusher_policy.placement import SHORTLIST, EndpointIndex
+from gypsumusher_policy.prefix_index import CacheTable
 
 
 class CountedState(EndpointState):
--- a/libs/policy/tests/test_quarantine.py
+++ b/libs/policy/tests/test_quarantine.py
@@ -1,8 +1,8 @@
 """Which request is convicted of crashing engines, when several were lost together."""
 
 from gypsumusher_policy import Quarantine
-from gypsumusher_policy.quarantine import SETTLE_S
-from gypsumusher_policy.suspects import own_engine
+from gypsumusher_policy.quarantine import EVALUATION_DELAY_S
+from gypsumusher_policy.suspect_scheduling import own_engine
 
 BAD, GOOD = "f-bad", "f-good"
 
@@ -14,7 +14,7 @@
     for fingerprint in past_prompt:
         quarantine.on_first_token(fingerprint, endpoint)
     convicts = quarantine.on_crash(now_s, endpoint)
-    return [convict.fingerprint for convict in convicts]
+    return [add_conviction.fingerprint for add_conviction in convicts]
 
 
 def test_a_neighbour_past_its_prompt_is_not_convicted_for_the_next_suspect():
@@ -28,7 +28,7 @@
     quarantine = Quarantine()
     assert lose(quarantine, 0.0, "e1", GOOD, BAD) == []
     assert lose(quarantine, 9.0, "e2", GOOD, BAD, past_prompt=[GOOD]) == [BAD]
-    assert quarantine.verdict(GOOD) == "clear"
+    assert quarantine.status_of(GOOD) == "clear"
 
 
 def test_two_suspects_at_their_prompts_convict_neither():
@@ -39,9 +39,9 @@
     quarantine = Quarantine()
     lose(quarantine, 0.0, "e1", GOOD, BAD)
     assert lose(quarantine, 9.0, "e2", GOOD, BAD) == []
-    assert quarantine.verdict(GOOD) == quarantine.verdict(BAD) == "suspect"
+    assert quarantine.status_of(GOOD) == quarantine.status_of(BAD) == "suspect"
     assert lose(quarantine, 18.0, "e3", BAD) == [BAD]
-    assert quarantine.verdict(GOOD) == "clear"
+    assert quarantine.status_of(GOOD) == "clear"
 
 
 def test_a_suspect_that_runs_on_is_spared_when_another_host_loses_the_engine():
@@ -53,7 +53,7 @@
     quarantine = Quarantine()
     lose(quarantine, 0.0, "e1", GOOD)
     assert lose(quarantine, 9.0, "e2", GOOD, past_prompt=[GOOD]) == []
-    assert quarantine.verdict(GOOD) == "suspect"
+    assert quarantine.status_of(GOOD) == "suspect"
 
 
 def test_a_content_that_crashes_engines_late_is_convicted_by_the_third():
@@ -82,24 +82,24 @@
     Both suspects ran on that engine, one of them innocent; each host hears of the
     other's some milliseconds later.
     """
-    quarantine = Quarantine(SETTLE_S)
+    quarantine = Quarantine(EVALUATION_DELAY_S)
     lose(quarantine, 0.0, "e1", GOOD)
     quarantine.on_suspicions(0.0, {BAD: ["e1"]})
     assert lose(quarantine, 9.0, "e2", GOOD) == []
     assert quarantine.on_suspicions(9.1, {BAD: ["e2"]}) == []
-    assert quarantine.accused
-    assert quarantine.settle(9.0 + SETTLE_S) == []
-    assert not quarantine.accused
-    assert quarantine.verdict(GOOD) == quarantine.verdict(BAD) == "suspect"
+    assert quarantine.pending_crashes
+    assert quarantine.evaluate_due(9.0 + EVALUATION_DELAY_S) == []
+    assert not quarantine.pending_crashes
+    assert quarantine.status_of(GOOD) == quarantine.status_of(BAD) == "suspect"
 
 
 def test_a_verdict_that_nobody_disputes_is_given_after_its_wait():
     """A request that crashes engines goes on doing so while its verdict waits."""
-    quarantine = Quarantine(SETTLE_S)
+    quarantine = Quarantine(EVALUATION_DELAY_S)
     lose(quarantine, 0.0, "e1", BAD, GOOD)
     assert lose(quarantine, 9.0, "e2", BAD) == []
-    assert quarantine.settle(9.0) == []
-    convicts = quarantine.settle(9.0 + SETTLE_S)
+    assert quarantine.evaluate_due(9.0) == []
+    convicts = quarantine.evaluate_due(9.0 + EVALUATION_DELAY_S)
     assert [convict.fingerprint for convict in convicts] == [BAD]
     assert convicts[0].endpoints == ("e1", "e2")
 
--- a/libs/policy/tests/test_promises.py
+++ b/libs/policy/tests/test_retry_reservations.py
@@ -1,6 +1,6 @@
 """A caller that obeys its retry-after goes before the newcomers."""
 
-from gypsumusher_policy.promises import KEPT_S, Promises
+from gypsumusher_policy.retry_reservations import KEPT_S, Promises
 
 
 def test_only_who_comes_when_told_and_once_goes_first():
--- a/libs/policy/tests/test_shifting.py
+++ b/libs/policy/tests/test_role_planner.py
@@ -1,6 +1,11 @@
 """When roles change, and when they are left alone."""
 
-from gypsumusher_policy import ClassPolicy, DeploymentPolicy, RoleChange, ShiftPlanner
+from gypsumusher_policy import (
+    ClassPolicy,
+    DeploymentPolicy,
+    RoleChange,
+    RoleChangePlanner,
+)
 
 CLASSES = {"standard": ClassPolicy("standard", 1, 5.0, 0.1, 60.0)}
 ROLES = {f"e{n}": "prefill" if n < 3 else "decode" for n in range(6)}
@@ -10,7 +15,7 @@
     policy = DeploymentPolicy(
         "d", CLASSES, "standard", {}, price_s, 5.0, 60.0, True, 0.1, 8, 2
     )
-    return ShiftPlanner(policy)
+    return RoleChangePlanner(policy)
 
 
 def demand(prefill, decode, prefill_s=0.0, decode_s=0.0, rank=1):
