--- a/libs/entry/gypsumusher_entry/context.py
+++ b/libs/entry/gypsumusher_entry/context.py
@@ -4,8 +4,8 @@
 import random
 import time
 
-from gypsumusher_entry.lag_watch import LagWatch
-from gypsumusher_entry.overdue import OverdueWatch
+from gypsumusher_entry.staleness_monitor import StalenessMonitor
+from gypsumusher_entry.stall_monitor import StallMonitor
 from gypsumusher_http import ConnectionPool
 from gypsumusher_platform import decode_head
 from gypsumusher_ports import DecodeError
@@ -71,9 +71,9 @@
         self.routes = None
         self.endpoints = EndpointTable()
         self.hosts = HostTable(settings.name)
-        self.lags = LagWatch(self)
+        self.lags = StalenessMonitor(self)
         self.pool = ConnectionPool(clock, decode_head, CONNECT_TIMEOUT_S)
-        self.overdue = OverdueWatch(clock, log, self.next_tick)
+        self.overdue = StallMonitor(clock, log, self.next_tick)
         # Engines that this host has ordered to change their stage, for the peers.
         self.ordered_stages = []
         # What is known of the lease for such orders; None until it is sought.
--- a/libs/entry/gypsumusher_entry/host.py
+++ b/libs/entry/gypsumusher_entry/host.py
@@ -5,13 +5,13 @@
 
 from gypsumusher_entry.context import Context
 from gypsumusher_entry.exchange import create_handler
-from gypsumusher_entry.following import StoreFollower
 from gypsumusher_entry.gossip import Gossip
-from gypsumusher_entry.kept_parts import KeptParts
+from gypsumusher_entry.host_api import create_api_handler
 from gypsumusher_entry.metrics import Metrics
-from gypsumusher_entry.peer_beliefs import PeerBeliefs
+from gypsumusher_entry.peer_sync import PeerSync
+from gypsumusher_entry.prefix_cache_recovery import PrefixCacheRecovery
 from gypsumusher_entry.registration import Registration
-from gypsumusher_entry.web import create_web_handler
+from gypsumusher_entry.store_watcher import StoreWatcher
 from gypsumusher_http import Listener
 from gypsumusher_platform import StoreClient, decode_request, encode_refusal
 from gypsumusher_routing import ALL_ON
@@ -54,14 +54,14 @@
         self.log = log
         self._metrics_port = metrics_port
         self._store = StoreClient(settings.store_address, STORE_TIMEOUT_S, clock)
-        self._follower = StoreFollower(self.context, self._store)
+        self._store_watcher = StoreWatcher(self.context, self._store)
         self._registration = Registration(self.context, self._store)
-        self._peer_beliefs = PeerBeliefs(self.context)
+        self._peer_sync = PeerSync(self.context)
         self._gossip = Gossip(self.context)
-        self._kept_parts = KeptParts(self.context)
+        self._prefix_cache_recovery = PrefixCacheRecovery(self.context)
         codecs = decode_request, encode_refusal
-        web_handler = create_web_handler(self.context)
-        self._web = Listener(web_handler, *codecs, clock, log)
+        web_handler = create_api_handler(self.context)
+        self._api = Listener(web_handler, *codecs, clock, log)
         self._listener = Listener(create_handler(self.context), *codecs, clock, log)
 
     async def start(self):
@@ -80,16 +80,16 @@
         await self.context.overdue.start()
         await self.context.lags.start()
         await self._gossip.start()
-        await self._follower.start()
+        await self._store_watcher.start()
         await self._registration.start()
-        await self._peer_beliefs.start()
+        await self._peer_sync.start()
         # Peers and callers that ask for hosts are answered meanwhile; the callers'
         # listener opens once there is a configuration.
         bound = await self._start_web()
         await self._wait_for_configuration(START_PATIENCE_S)
         callers = await _listen(self._listener, settings.callers_address)
         self._gossip.tell_now()
-        await self._kept_parts.start()
+        await self._prefix_cache_recovery.start()
         await self._start_stage_orders()
         return {"callers": callers, **bound}
 
@@ -117,7 +117,7 @@
             addresses["metrics"] = f"{settings.ip}:{self._metrics_port}"
         bound = {}
         for name, address in addresses.items():
-            bound[name] = await _listen(self._web, address)
+            bound[name] = await _listen(self._api, address)
         return bound
 
     def reload(self, settings):
@@ -173,9 +173,9 @@
     async def close(self):
         """Close all parts at once."""
         await self._listener.close()
-        await self._peer_beliefs.close()
+        await self._peer_sync.close()
         await self._gossip.close()
-        await self._web.close()
+        await self._api.close()
         await self.context.close()
         await self._store.close()
 
--- a/libs/entry/gypsumusher_entry/web.py
+++ b/libs/entry/gypsumusher_entry/host_api.py
@@ -2,17 +2,17 @@
 
 import json
 
-from gypsumusher_entry.belief_messages import BeliefEncoder, Beliefs
-from gypsumusher_entry.peer_beliefs import BELIEFS_PATH
+from gypsumusher_entry.peer_sync import PEER_SYNC_PATH
+from gypsumusher_entry.sync_messages import SyncResponse, SyncResponseEncoder
 from gypsumusher_platform import READY_PATH, RESOLVE_PATH, encode_hosts
 
-__all__ = ["create_web_handler"]
+__all__ = ["create_api_handler"]
 
 _JSON = ("Content-Type", "application/json")
 _MSGPACK = ("Content-Type", "application/msgpack")
 
 
-def create_web_handler(context):
+def create_api_handler(context):
     """Return the coroutine that answers one request.
 
     Parameters
@@ -25,7 +25,7 @@
     callable
         ``handle(request, reply)``.
     """
-    encoder = BeliefEncoder()
+    encoder = SyncResponseEncoder()
 
     def answer_ready(_):
         status = 200 if context.is_ready else 503
@@ -57,7 +57,7 @@
     answers = {
         READY_PATH: answer_ready,
         RESOLVE_PATH: answer_hosts,
-        BELIEFS_PATH: answer_beliefs,
+        PEER_SYNC_PATH: answer_beliefs,
         "/metrics": answer_metrics,
     }
 
@@ -103,4 +103,4 @@
             records, removed = map(tuple, changes)
         else:
             records = tuple(endpoints.listed())
-    return Beliefs(stored, records, endpoints.revision, is_whole, removed)
+    return SyncResponse(stored, records, endpoints.revision, is_whole, removed)
--- a/libs/entry/gypsumusher_entry/peer_beliefs.py
+++ b/libs/entry/gypsumusher_entry/peer_sync.py
@@ -7,16 +7,19 @@
 
 import asyncio
 
-from gypsumusher_entry.belief_messages import BELIEFS_MAX_BYTES, decode_beliefs
-from gypsumusher_entry.following import take_configuration
-from gypsumusher_entry.lag_watch import CONFIGURATION
+from gypsumusher_entry.staleness_monitor import CONFIGURATION
+from gypsumusher_entry.store_watcher import apply_stored_configuration
+from gypsumusher_entry.sync_messages import (
+    SYNC_RESPONSE_MAX_BYTES,
+    decode_sync_response,
+)
 from gypsumusher_http import CallError, CallLimits, HttpClient
 from gypsumusher_ports import DecodeError
 
-__all__ = ["BELIEFS_PATH", "PeerBeliefs"]
+__all__ = ["PEER_SYNC_PATH", "PeerSync"]
 
 # Where one host tells another what it believes.
-BELIEFS_PATH = "/v1/beliefs"
+PEER_SYNC_PATH = "/v1/beliefs"
 # How often a host without the store looks whether a peer knows more, in seconds.
 ASK_S = 0.1
 # Least time between two questions to peers, in seconds.
@@ -32,16 +35,16 @@
 # bound of 2 s.
 SILENCE_S = 0.8
 # Longest time for the whole of it, in seconds. While an answer keeps coming nothing is
-# won by beginning another one over the same link; see `LagWatch` for what is done
-# besides once it is overdue.
+# won by beginning another one over the same link; see `StalenessMonitor` for
+# what is done besides once it is overdue.
 WHOLE_S = 4.0
-ANSWER_LIMITS = CallLimits(SILENCE_S, SILENCE_S, WHOLE_S, BELIEFS_MAX_BYTES)
+ANSWER_LIMITS = CallLimits(SILENCE_S, SILENCE_S, WHOLE_S, SYNC_RESPONSE_MAX_BYTES)
 # A peer that gave no answer isn't asked again for so long, in seconds, while another
 # one knows as much.
 FAILED_PAUSE_S = 2.0
 
 
-class PeerBeliefs:
+class PeerSync:
     """Asks peers while the store doesn't answer.
 
     Parameters
@@ -142,15 +145,15 @@
             "changes": "1",
         }
         _, data = await self._client.call(
-            "GET", peer.peers_address, BELIEFS_PATH, ANSWER_LIMITS, known
+            "GET", peer.peers_address, PEER_SYNC_PATH, ANSWER_LIMITS, known
         )
-        return decode_beliefs(peer.name, data)
+        return decode_sync_response(peer.name, data)
 
     def _take(self, peer, beliefs):
         """Take over what a peer told."""
         context = self._context
         if beliefs.configuration is not None:
-            take_configuration(context, beliefs.configuration, peer.name)
+            apply_stored_configuration(context, beliefs.configuration, peer.name)
         if beliefs.endpoints is None:
             return
         endpoints, revision = context.endpoints, beliefs.revision
--- a/libs/entry/gypsumusher_entry/reading.py
+++ b/libs/entry/gypsumusher_entry/prefill.py
@@ -1,11 +1,11 @@
 """Prompts that are read apart, by an engine that hands its KV cache on."""
 
 from gypsumusher_entry.errors import OverloadedError
-from gypsumusher_entry.sending import (
-    ask_engine,
-    note_failure,
-    open_send,
-    silence_limit,
+from gypsumusher_entry.sending_to_endpoints import (
+    call_engine,
+    record_failure,
+    silence_timeout,
+    start_send,
 )
 from gypsumusher_http import CallError
 from gypsumusher_platform import decode_prefill, encode_free_handle
@@ -18,7 +18,7 @@
     urgency_of,
 )
 
-__all__ = ["Prompt", "learn_reading", "read_prompt"]
+__all__ = ["PrefilledPrompt", "record_prefill", "prefill_prompt"]
 
 # Engines that are asked to read one prompt; after that the engine that makes the tokens
 # reads it itself.
@@ -27,7 +27,7 @@
 FREE_TIMEOUT_S = 1.0
 
 
-class Prompt:
+class PrefilledPrompt:
     """A prompt that an engine has read and keeps for a while.
 
     Parameters
@@ -52,7 +52,7 @@
         record = self.state.record
         call = encode_free_handle(record.address, self.handle)
         try:
-            await ask_engine(context, record, call, FREE_TIMEOUT_S)
+            await call_engine(context, record, call, FREE_TIMEOUT_S)
         except (CallError, TimeoutError) as error:
             # It lapses by itself; until then it takes memory from others.
             context.log(
@@ -63,7 +63,7 @@
             )
 
 
-async def read_prompt(exchange, limits):
+async def prefill_prompt(exchange, limits):
     """Have the prompt read apart, where that is expected to be done first.
 
     Parameters
@@ -75,7 +75,7 @@
 
     Returns
     -------
-    Prompt or None
+    PrefilledPrompt or None
         None when the engine that makes the tokens is to read it.
 
     Raises
@@ -133,15 +133,15 @@
         # Asked for elsewhere it would stand last again.
         limit_s = longest_s
     try:
-        async with silence_limit(exchange, limit_s, longest_s):
+        async with silence_timeout(exchange, limit_s, longest_s):
             answer = await _ask(exchange, state, send)
     except TimeoutError:
         reason = "behind" if state.has_answered_since(began_s) else "silent"
         error = CallError("prefill", state.record.address, reason, False)
-        note_failure(exchange, state, error, waited_s=context.clock() - began_s)
+        record_failure(exchange, state, error, waited_s=context.clock() - began_s)
         return None
     except CallError as error:
-        note_failure(exchange, state, error)
+        record_failure(exchange, state, error)
         return None
     finally:
         state.own_running -= 1
@@ -149,7 +149,7 @@
     exchange.account.on_prompt_accepted()
     took_s = context.clock() - began_s
     state.on_answer(context.clock())
-    learn_reading(exchange, reading, took_s)
+    record_prefill(exchange, reading, took_s)
     state.health.on_success(context.clock())
     context.note_placement(state, parts)
     exchange.log(
@@ -167,10 +167,10 @@
         pace=round(state.pace.factor(context.clock()), 2),
         margin=round(learnt.margin(state.stage), 2),
     )
-    return Prompt(state, answer)
+    return PrefilledPrompt(state, answer)
 
 
-def learn_reading(exchange, reading, took_s):
+def record_prefill(exchange, reading, took_s):
     """Take in what a reading took, in seconds."""
     context, state = exchange.context, reading.state
     seen = SeenReading(
@@ -188,7 +188,7 @@
 
 async def _ask(exchange, state, send):
     """Send the prompt to one engine; return what it says of it."""
-    answer = await open_send(exchange, state, send)
+    answer = await start_send(exchange, state, send)
     try:
         head = await answer.head()
         body = await answer.body()
--- a/libs/entry/gypsumusher_entry/kept_parts.py
+++ b/libs/entry/gypsumusher_entry/prefix_cache_recovery.py
@@ -7,12 +7,12 @@
 
 import asyncio
 
-from gypsumusher_entry.sending import ask_engine
+from gypsumusher_entry.sending_to_endpoints import call_engine
 from gypsumusher_http import CallError
 from gypsumusher_platform import decode_kept_parts, encode_kept_parts_call
 from gypsumusher_ports import DecodeError
 
-__all__ = ["KeptParts"]
+__all__ = ["PrefixCacheRecovery"]
 
 # Engines that are on record this long after the start are asked, in seconds; one that
 # comes later is new itself and keeps nothing.
@@ -24,7 +24,7 @@
 ANSWER_TIMEOUT_S = 1.0
 
 
-class KeptParts:
+class PrefixCacheRecovery:
     """Asks each engine once for its list.
 
     Parameters
@@ -64,7 +64,7 @@
         context, record = self._context, state.record
         call = encode_kept_parts_call(record.address)
         try:
-            reply = await ask_engine(context, record, call, ANSWER_TIMEOUT_S)
+            reply = await call_engine(context, record, call, ANSWER_TIMEOUT_S)
             parts = decode_kept_parts(record.endpoint_id, reply.body)
         except (CallError, DecodeError, TimeoutError) as error:
             # Without its list the engine is used as if it kept nothing.
--- a/libs/entry/gypsumusher_entry/sending.py
+++ b/libs/entry/gypsumusher_entry/sending_to_endpoints.py
@@ -9,12 +9,12 @@
 from gypsumusher_ports import ANY_TIMES
 
 __all__ = [
-    "ask_engine",
-    "check_head",
-    "may_run_again",
-    "note_failure",
-    "open_send",
-    "silence_limit",
+    "call_engine",
+    "check_response_head",
+    "may_send_again",
+    "record_failure",
+    "start_send",
+    "silence_timeout",
 ]
 
 # From this penalty on an endpoint is sent to on a new connection. One that has crashed
@@ -41,7 +41,7 @@
     body: bytes
 
 
-async def open_send(exchange, state, send):
+async def start_send(exchange, state, send):
     """Send a request to an endpoint; return the answer that is on its way.
 
     Parameters
@@ -95,7 +95,7 @@
     return connection
 
 
-def check_head(exchange, state, head):
+def check_response_head(exchange, state, head):
     """Take in what the head of a run's answer says of the endpoint and of the run.
 
     Parameters
@@ -123,7 +123,7 @@
         raise CallError("run", record.address, "garbled", True)
 
 
-async def ask_engine(context, record, call, timeout_s):
+async def call_engine(context, record, call, timeout_s):
     """Make a call to an engine that isn't a request of a caller.
 
     Parameters
@@ -159,7 +159,7 @@
             answer.close()
 
 
-def note_failure(exchange, state, error, **fields):
+def record_failure(exchange, state, error, **fields):
     """Log a failed send, and count it against the endpoint."""
     context = exchange.context
     now_s = context.clock()
@@ -177,7 +177,7 @@
     )
 
 
-def may_run_again(exchange):
+def may_send_again(exchange):
     """Say whether a request may be sent to another endpoint.
 
     Guards against a booking that reaches two crews: once bytes of a request that runs
@@ -196,7 +196,7 @@
 
 
 @contextlib.asynccontextmanager
-async def silence_limit(exchange, silent_s, longest_s):
+async def silence_timeout(exchange, silent_s, longest_s):
     """Limit a wait for an engine, which is left only for another one.
 
     Failure guarded against: a request left an engine that was late, had no retry to go
@@ -223,7 +223,7 @@
         nonlocal timer
         if limit.expired():
             return
-        if may_run_again(exchange) and exchange.try_reserve_send():
+        if may_send_again(exchange) and exchange.try_reserve_send():
             limit.reschedule(loop.time())
         else:
             timer = loop.call_later(silent_s, leave)
--- a/libs/entry/gypsumusher_entry/service_exchange.py
+++ b/libs/entry/gypsumusher_entry/service_exchange.py
@@ -4,11 +4,11 @@
 from typing import NamedTuple
 
 from gypsumusher_entry.errors import NoRetryError
-from gypsumusher_entry.sending import (
-    check_head,
-    may_run_again,
-    note_failure,
-    open_send,
+from gypsumusher_entry.sending_to_endpoints import (
+    check_response_head,
+    may_send_again,
+    record_failure,
+    start_send,
 )
 from gypsumusher_http import CallError
 from gypsumusher_ports import ANY_TIMES, AnswerHead, Send
@@ -140,7 +140,7 @@
             if isinstance(result.error, NoRetryError):
                 return False
             self._runs += result.error.may_have_run
-            note_failure(exchange, result.state, result.error)
+            record_failure(exchange, result.state, result.error)
             self._retry(result.error.reason)
             return False
         result.state.on_answer(now_s)
@@ -164,7 +164,7 @@
         if self._runs + len(self._tasks) >= exchange.route.max_endpoints:
             return
         state = self._next()
-        if state is None or not may_run_again(exchange):
+        if state is None or not may_send_again(exchange):
             return
         exchange.log("info", "request_retried", reason=reason)
         self._begin(state)
@@ -178,10 +178,10 @@
     wait = exchange.context.overdue.begin(exchange.request.request_id, state, limit_s)
     state.own_running += 1
     try:
-        answer = await open_send(exchange, state, send)
+        answer = await start_send(exchange, state, send)
         head = await answer.head()
         body = await answer.body()
-        check_head(exchange, state, head)
+        check_response_head(exchange, state, head)
         return _Result(state, head, body, None)
     except (CallError, NoRetryError) as error:
         return _Result(state, None, b"", error)
--- a/libs/entry/gypsumusher_entry/stage_orders.py
+++ b/libs/entry/gypsumusher_entry/stage_orders.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from gypsumusher_entry.sending import ask_engine
+from gypsumusher_entry.sending_to_endpoints import call_engine
 from gypsumusher_http import CallError
 from gypsumusher_platform import (
     decode_order_status,
@@ -171,7 +171,7 @@
         """Return an engine's report, or None when none came."""
         call = encode_report_call(record.address)
         try:
-            reply = await ask_engine(self._context, record, call, CALL_TIMEOUT_S)
+            reply = await call_engine(self._context, record, call, CALL_TIMEOUT_S)
             return decode_report(record.endpoint_id, reply.body)
         except (CallError, DecodeError, TimeoutError) as error:
             self._context.log(
@@ -198,7 +198,7 @@
             order.order_count,
         )
         try:
-            reply = await ask_engine(context, record, call, CALL_TIMEOUT_S)
+            reply = await call_engine(context, record, call, CALL_TIMEOUT_S)
             outcome, detail = decode_order_status(reply.status), None
         except (CallError, TimeoutError) as error:
             outcome, detail = OrderOutcome.UNKNOWN, str(error) or "timeout"
--- a/libs/entry/gypsumusher_entry/lag_watch.py
+++ b/libs/entry/gypsumusher_entry/staleness_monitor.py
@@ -2,7 +2,7 @@
 
 from gypsumusher_routing import NewsLag
 
-__all__ = ["CONFIGURATION", "ENDPOINTS", "LagWatch"]
+__all__ = ["CONFIGURATION", "ENDPOINTS", "StalenessMonitor"]
 
 # Kinds of news.
 CONFIGURATION, ENDPOINTS = "configuration", "endpoints"
@@ -13,7 +13,7 @@
 OVERDUE_PART = 0.25
 
 
-class LagWatch:
+class StalenessMonitor:
     """Keeps the lag of each kind of news up to date, for decisions, log and metrics.
 
     Parameters
--- a/libs/entry/gypsumusher_entry/overdue.py
+++ b/libs/entry/gypsumusher_entry/stall_monitor.py
@@ -7,7 +7,7 @@
 
 import asyncio
 
-__all__ = ["OverdueWatch", "Wait"]
+__all__ = ["StallMonitor", "PendingResponse"]
 
 SWEEP_S = 0.1
 # A wait that goes on is counted again after this time, in seconds, so that the endpoint
@@ -18,7 +18,7 @@
 OVERDUE_SILENCE_S = 0.6
 
 
-class Wait:
+class PendingResponse:
     """One request's wait for the next bytes of an endpoint.
 
     Parameters
@@ -37,7 +37,7 @@
         self.due_s = due_s
 
 
-class OverdueWatch:
+class StallMonitor:
     """Counts silent endpoints as failing while requests still wait for them.
 
     Parameters
@@ -79,11 +79,11 @@
 
         Returns
         -------
-        Wait
+        PendingResponse
             Its ``due_s`` is moved on with each sign of life.
         """
         now_s = self._clock()
-        wait = Wait(request_id, state, now_s + limit_s)
+        wait = PendingResponse(request_id, state, now_s + limit_s)
         self._waits.add(wait)
         return wait
 
--- a/libs/entry/gypsumusher_entry/following.py
+++ b/libs/entry/gypsumusher_entry/store_watcher.py
@@ -4,7 +4,7 @@
 
 from returns.result import Failure
 
-from gypsumusher_entry.lag_watch import CONFIGURATION, ENDPOINTS
+from gypsumusher_entry.staleness_monitor import CONFIGURATION, ENDPOINTS
 from gypsumusher_platform import (
     CONFIGURATION_KIND,
     CONFIGURATION_NAME,
@@ -14,7 +14,7 @@
 )
 from gypsumusher_ports import DecodeError
 
-__all__ = ["StoreFollower", "take_configuration"]
+__all__ = ["StoreWatcher", "apply_stored_configuration"]
 
 # Kinds of objects that a host has to know of; it sees the store when it hears of all.
 FOLLOWED = frozenset((CONFIGURATION_KIND, ENDPOINTS_KIND))
@@ -43,7 +43,7 @@
 DROP_S = 0.2
 
 
-class StoreFollower:
+class StoreWatcher:
     """Keeps the configuration and the endpoints up to date from the store.
 
     Parameters
@@ -147,7 +147,7 @@
             stored = [change.object for change in found.changes]
         for item in stored:
             if item.name == CONFIGURATION_NAME:
-                take_configuration(self._context, item, "store")
+                apply_stored_configuration(self._context, item, "store")
 
     def _on_endpoints(self, found, is_listing):
         if is_listing:
@@ -227,7 +227,7 @@
                 state.drop_stage_news(context.clock())
 
 
-def take_configuration(context, stored, source):
+def apply_stored_configuration(context, stored, source):
     """Put a stored configuration in force; one that can't be read changes nothing.
 
     Parameters
--- a/libs/entry/gypsumusher_entry/stream_exchange.py
+++ b/libs/entry/gypsumusher_entry/stream_exchange.py
@@ -1,13 +1,13 @@
 """Requests to engines: the prompt is read, tokens are made, events are passed on."""
 
 from gypsumusher_entry.errors import NoRetryError, OverloadedError
-from gypsumusher_entry.reading import learn_reading, read_prompt
-from gypsumusher_entry.sending import (
-    check_head,
-    may_run_again,
-    note_failure,
-    open_send,
-    silence_limit,
+from gypsumusher_entry.prefill import prefill_prompt, record_prefill
+from gypsumusher_entry.sending_to_endpoints import (
+    check_response_head,
+    may_send_again,
+    record_failure,
+    silence_timeout,
+    start_send,
 )
 from gypsumusher_http import CallError
 from gypsumusher_ports import Send
@@ -74,7 +74,7 @@
         context.note_request(exchange.service)
         try:
             if self._is_generation():
-                self._prompt = await read_prompt(exchange, self._limits)
+                self._prompt = await prefill_prompt(exchange, self._limits)
             is_whole, error = await self._try_in_turn()
         except NoRetryError as withheld:
             is_whole, error = False, withheld
@@ -86,7 +86,7 @@
         exchange = self._exchange
         error = None
         for _ in range(MAX_SENDS):
-            if exchange.account.arrivals >= MAX_SENDS or not may_run_again(exchange):
+            if exchange.account.arrivals >= MAX_SENDS or not may_send_again(exchange):
                 break
             state, reading = self._choose()
             if state is None:
@@ -176,10 +176,10 @@
         if reading is not None:
             context.note_reading_begun()
         try:
-            answer = await open_send(exchange, state, send)
+            answer = await start_send(exchange, state, send)
             await self._pass_on(answer, run, wait)
         except CallError as error:
-            note_failure(exchange, state, error, kv_source=send.kv_source)
+            record_failure(exchange, state, error, kv_source=send.kv_source)
             if prompt is not None and not error.may_have_run:
                 # Not taken: another engine may still have it, or it is to be freed.
                 self._prompt = prompt if error.step == "connect" else None
@@ -204,7 +204,7 @@
         """
         exchange = self._exchange
         head = await self._head_in_time(answer, run)
-        check_head(exchange, run.state, head)
+        check_response_head(exchange, run.state, head)
         if not 200 <= head.status < 300:
             await self._pass_failure_on(answer, head, run.state.record.address)
             return
@@ -234,7 +234,7 @@
         expected_s = 0.0 if run.reading is None else run.reading.expected_s
         limit_s = max(LEAST_SILENCE_S, SILENCE_FACTOR * expected_s)
         try:
-            async with silence_limit(self._exchange, limit_s, self._exchange.left_s):
+            async with silence_timeout(self._exchange, limit_s, self._exchange.left_s):
                 return await answer.head()
         except TimeoutError as error:
             peer = run.state.record.address
@@ -277,7 +277,7 @@
             moved_s = transfer_s(self._generation.prompt_tokens, self._limits)
             self._context.learnt(self._exchange.service).on_hand_over(took_s, moved_s)
         elif run.reading is not None:
-            learn_reading(self._exchange, run.reading, took_s)
+            record_prefill(self._exchange, run.reading, took_s)
 
     def _allowed_gap_s(self):
         """Return how far apart the events may be for the stream to end in time."""
--- a/libs/entry/gypsumusher_entry/belief_messages.py
+++ b/libs/entry/gypsumusher_entry/sync_messages.py
@@ -13,19 +13,24 @@
 
 from gypsumusher_ports import DecodeError, EndpointRecord, StoredObject
 
-__all__ = ["BELIEFS_MAX_BYTES", "BeliefEncoder", "Beliefs", "decode_beliefs"]
+__all__ = [
+    "SYNC_RESPONSE_MAX_BYTES",
+    "SyncResponseEncoder",
+    "SyncResponse",
+    "decode_sync_response",
+]
 
 # Largest answer, packed, and the largest content of one, in bytes. The store holds
 # values of up to a megabyte and a host knows one configuration; the entries of 910
 # endpoints have 150 KB. Beyond that an answer is none of ours, and is not kept in a
 # memory of 200 MB.
-BELIEFS_MAX_BYTES = 2 * 1024 * 1024
+SYNC_RESPONSE_MAX_BYTES = 2 * 1024 * 1024
 CONTENT_MAX_BYTES = 4 * 1024 * 1024
 # The fastest level of packing: 6 ms for 1,400 routes, once a version.
 PACK_LEVEL = 1
 
 
-class Beliefs(NamedTuple):
+class SyncResponse(NamedTuple):
     """What one host tells another.
 
     Attributes
@@ -50,7 +55,7 @@
     removed: tuple[str, ...] | None = None
 
 
-class BeliefEncoder:
+class SyncResponseEncoder:
     """Encodes answers; what was packed for one host is kept for the next.
 
     Sixty hosts ask for the same configuration within a second. Packed for each of
@@ -60,7 +65,7 @@
     def __init__(self):
         self._packed = {}
 
-    def encode(self, beliefs: Beliefs) -> bytes:
+    def encode(self, beliefs: SyncResponse) -> bytes:
         """Return an answer's bytes."""
         stored = beliefs.configuration
         configuration = None
@@ -88,7 +93,7 @@
         return packed
 
 
-def decode_beliefs(peer: str, data: bytes) -> Beliefs:
+def decode_sync_response(peer: str, data: bytes) -> SyncResponse:
     """Return what an answer holds.
 
     Parameters
@@ -121,7 +126,7 @@
         raise DecodeError("beliefs", peer, "revision or is_whole has another type")
     if removed is not None and not all(type(item) is str for item in removed):
         raise DecodeError("beliefs", peer, "removed holds no ids")
-    return Beliefs(stored, records, revision, is_whole, removed)
+    return SyncResponse(stored, records, revision, is_whole, removed)
 
 
 def _unpack(packed):
--- a/libs/entry/tests/worlds.py
+++ b/libs/entry/tests/host_harness.py
@@ -20,13 +20,13 @@
     "ONCE",
     "RESUMABLE",
     "STREAM",
-    "TwoHosts",
-    "World",
+    "HostWithoutStore",
+    "HostHarness",
     "ask",
     "configuration",
     "entry",
     "not_run",
-    "one_seeing_one_not",
+    "host_without_store",
     "run",
     "settings",
     "until",
@@ -50,7 +50,7 @@
     )  # fmt: skip
 
 
-class World:
+class HostHarness:
     """A store, scripted endpoints, and one host before them."""
 
     def __init__(self, *scripts, routes=(ANY,)):
@@ -111,7 +111,7 @@
     writer.write(answer_to(request_id_of(head), b"", status, extra))
 
 
-class TwoHosts(NamedTuple):
+class HostWithoutStore(NamedTuple):
     """A store, a host that reads it, and one that hears of it from the first.
 
     Attributes
@@ -139,7 +139,7 @@
 
 
 @contextlib.asynccontextmanager
-async def one_seeing_one_not(*endpoint_addresses):
+async def host_without_store(*endpoint_addresses):
     """Give two hosts, of which only one reads the store, before some endpoints."""
     store, blind = ObjectStore(), ObjectStore()
     blind.fault = "refuse"
@@ -166,7 +166,7 @@
     seeing.context.hosts.on_record(0.0, "host-3", "127.0.0.3")
     await until(lambda: other.context.configuration_version == 1)
     try:
-        yield TwoHosts(store, blind, link, other.context, session, lines)
+        yield HostWithoutStore(store, blind, link, other.context, session, lines)
     finally:
         await session.close()
         for part in (other, seeing, link, store, blind):
--- a/libs/entry/tests/test_simultaneous_choices.py
+++ b/libs/entry/tests/test_concurrent_choices.py
@@ -3,7 +3,7 @@
 import asyncio
 
 import msgpack
-from worlds import run, settings
+from host_harness import run, settings
 
 from gypsumusher_entry.context import Context
 from gypsumusher_entry.gossip import URGENT_S, Gossip
--- a/libs/entry/tests/test_host.py
+++ b/libs/entry/tests/test_host.py
@@ -4,15 +4,13 @@
 import json
 
 import aiohttp
-from processes import free_ports
-from replies import ScriptedEndpoint, answer_to, chunk, request_id_of
-from worlds import (
+from host_harness import (
     ANY,
     BOUNDS,
     ONCE,
     RESUMABLE,
     STREAM,
-    World,
+    HostHarness,
     configuration,
     entry,
     not_run,
@@ -20,6 +18,8 @@
     settings,
     until,
 )
+from processes import free_ports
+from replies import ScriptedEndpoint, answer_to, chunk, request_id_of
 
 from gypsumusher_entry.host import EntryHost
 from gypsumusher_standins.object_store import ObjectStore
@@ -44,7 +44,7 @@
 
 def test_an_answer_comes_back_as_the_endpoint_made_it():
     async def scenario():
-        async with World(well) as world:
+        async with HostHarness(well) as world:
             status, headers, body = await world.ask()
             assert (status, body) == (200, b"whole")
             assert headers["X-Gypsumusher-Server-Seal"] == "seal"
@@ -60,7 +60,7 @@
     # A caller names a KV cache that another request left at an engine. Passed on, its
     # request would go on from the other's memory.
     async def scenario():
-        async with World(well) as world:
+        async with HostHarness(well) as world:
             await world.ask(
                 **{
                     "X-Gypsumusher-Kv-Source": "10.0.0.1:1/abc",
@@ -80,7 +80,7 @@
     # The endpoint ran a booking, and its answer was lost on the way. Sent again, it
     # would run twice; answered with 503, its caller would take it for not run.
     async def scenario():
-        async with World(broken, broken, routes=(ONCE,)) as world:
+        async with HostHarness(broken, broken, routes=(ONCE,)) as world:
             status, headers, _ = await world.ask(method="POST")
             assert status == 502
             assert "Retry-After" not in headers
@@ -91,7 +91,7 @@
 
 def test_a_booking_that_an_endpoint_refused_goes_to_another():
     async def scenario():
-        async with World(not_run, well, routes=(ONCE,)) as world:
+        async with HostHarness(not_run, well, routes=(ONCE,)) as world:
             world.host.context.started_s -= 100.0
             for number in range(4):
                 status, _, _ = await world.ask(method="POST", request_id=f"r-{number}")
@@ -102,7 +102,7 @@
 
 def test_a_refusal_says_when_to_come_back_and_is_true():
     async def scenario():
-        async with World(not_run, routes=(ONCE,)) as world:
+        async with HostHarness(not_run, routes=(ONCE,)) as world:
             status, headers, _ = await world.ask(method="POST")
             assert status == 503
             assert float(headers["Retry-After"]) > 0
@@ -114,7 +114,7 @@
     # An endpoint hangs with its health check good. Waiting for it until the deadline
     # helps nobody, and another endpoint answers in time.
     async def scenario():
-        async with World(silent, well) as world:
+        async with HostHarness(silent, well) as world:
             world.host.context.started_s -= 100.0
             for number in range(4):
                 status, _, body = await world.ask(request_id=f"r-{number}")
@@ -139,7 +139,7 @@
 
     async def scenario():
         script = late_error_once
-        async with World(script, script, script) as world:
+        async with HostHarness(script, script, script) as world:
             world.host.context.started_s -= 100.0
             pool = world.host.context.pool
             acquire, calls = pool.acquire, []
@@ -169,7 +169,7 @@
     # A caller leaves before its prompt is read. Its line said that one send was made
     # and named no engine, so that nobody could find the slow one.
     async def scenario():
-        async with World(silent, well, routes=(STREAM,)) as world:
+        async with HostHarness(silent, well, routes=(STREAM,)) as world:
             content = configuration(2, STREAM)
             content["services"][0]["engine"] = {"slots": 8}
             world.store.put("config", "main", content)
@@ -196,7 +196,7 @@
     # The only endpoint of a service is slow. Each request that waited for it asked for
     # a second one a thousand times a second, and each time used up a retry of all.
     async def scenario():
-        async with World(silent) as world:
+        async with HostHarness(silent) as world:
             world.host.context.started_s -= 100.0
             assert (await world.ask())[0] == 504
             events = [event for event, _ in world.log_lines]
@@ -210,7 +210,7 @@
     # callers leave, and none of that is a failed send: it looked idle and well, and
     # each new booking went there too.
     async def scenario():
-        async with World(silent, well, routes=(ONCE,)) as world:
+        async with HostHarness(silent, well, routes=(ONCE,)) as world:
             health = world.host.context.endpoints.states["e-0"].health
             clock = world.host.context.clock
             lost = []
@@ -232,7 +232,7 @@
     # An endpoint crashes. A kept connection shows that only when the next booking has
     # been sent on it, which may then have run; a new connection is refused before.
     async def scenario():
-        async with World(well, routes=(ONCE,)) as world:
+        async with HostHarness(well, routes=(ONCE,)) as world:
             await world.ask(method="POST", request_id="r-1")
             await world.ask(method="POST", request_id="r-2")
             assert world.endpoints[0].connections == 1
@@ -246,7 +246,7 @@
 
 def test_an_endpoint_s_own_failure_is_passed_on_when_no_other_does_better():
     async def scenario():
-        async with World(failing, failing) as world:
+        async with HostHarness(failing, failing) as world:
             world.host.context.started_s -= 100.0
             status, headers, body = await world.ask()
             assert (status, body) == (500, b"no")
@@ -261,7 +261,7 @@
     # hears so then, and not when its own, longer patience ends.
     async def scenario():
         route = {**ONCE, "timeout_ms": 200}
-        async with World(silent, routes=(route,)) as world:
+        async with HostHarness(silent, routes=(route,)) as world:
             patience = {"X-Gypsumusher-Deadline-Ms": "25000"}
             async with asyncio.timeout(10):
                 status, _, _ = await world.ask(method="POST", **patience)
@@ -272,7 +272,7 @@
 
 def test_a_request_goes_nowhere_without_a_route():
     async def scenario():
-        async with World(well) as world:
+        async with HostHarness(well) as world:
             assert (await world.ask(path="/9/x"))[0] == 404
 
     run(scenario())
@@ -280,7 +280,7 @@
 
 def test_a_new_configuration_is_in_force_soon_and_an_old_one_never_again():
     async def scenario():
-        async with World(well) as world:
+        async with HostHarness(well) as world:
             world.store.put("config", "main", configuration(5, ANY, ANY))
             context = world.host.context
             await until(lambda: context.configuration_version == 5)
@@ -302,7 +302,7 @@
     # A version drops a service while one of its requests waits for a second endpoint.
     # The request ends with an answer all the same, and not with a fault of the host.
     async def scenario():
-        async with World(well, routes=(ONCE,)) as world:
+        async with HostHarness(well, routes=(ONCE,)) as world:
             context = world.host.context
             state = context.endpoints.states["e-0"]
             context.configuration = context.configuration._replace(services={})
@@ -314,7 +314,7 @@
 
 def test_a_leaving_endpoint_gets_no_new_work():
     async def scenario():
-        async with World(well, well) as world:
+        async with HostHarness(well, well) as world:
             address = world.host.context.endpoints.states["e-0"].record.address
             world.store.put("servers", "e-0", entry(address, "draining", beat=2))
             await until(
@@ -331,7 +331,7 @@
     # Another writer puts entries with missing fields, other types and odd states
     # among the endpoints'. The good ones are to be used as before.
     async def scenario():
-        async with World(well) as world:
+        async with HostHarness(well) as world:
             for number, content in enumerate(
                 (None, 7, [], {}, "text", entry("nowhere"), entry("10.0.0.1:80", "odd"))
             ):
@@ -350,7 +350,7 @@
     # The store turns this host away for a while, and drops its history. Requests go on
     # by what is known, and what changed meanwhile is known soon after.
     async def scenario():
-        async with World(well) as world:
+        async with HostHarness(well) as world:
             context = world.host.context
             world.store.fault = "refuse"
             world.store.forget_history()
@@ -369,7 +369,7 @@
     # Others watched the store for this host, and then it became a watcher itself. It
     # did not say so, and all hosts that rely on watchers began to watch as well.
     async def scenario():
-        async with World(well) as world:
+        async with HostHarness(well) as world:
             context = world.host.context
             await until(lambda: context.sees_store)
             watches = context.watches_store
@@ -391,7 +391,7 @@
         await well(number, head, body, writer)
 
     async def scenario():
-        async with World(slow, routes=({**ONCE, "timeout_ms": 3000},)) as world:
+        async with HostHarness(slow, routes=({**ONCE, "timeout_ms": 3000},)) as world:
             running = asyncio.ensure_future(world.ask(method="POST"))
             await until(lambda: world.arrivals() == 1)
             stopping = asyncio.ensure_future(world.host.stop())
@@ -410,7 +410,7 @@
 
 def test_the_directory_names_the_host_and_how_long_that_holds():
     async def scenario():
-        async with World(well) as world:
+        async with HostHarness(well) as world:
             url = f"http://{world.addresses['directory']}/v1/resolve?name=shop.example"
             async with world.session.get(url) as answer:
                 body = await answer.json()
@@ -485,7 +485,7 @@
     # engine goes on behind the last whole event, in the same answer.
     async def scenario():
         scripts = (stream_of(EVENTS, False), stream_of(EVENTS, False))
-        async with World(*scripts, routes=(RESUMABLE,)) as world:
+        async with HostHarness(*scripts, routes=(RESUMABLE,)) as world:
             world.host.context.started_s -= 100.0
             world.endpoints[1]._script = world.endpoints[0]._script
             seen = []
@@ -506,7 +506,7 @@
 
 def test_a_stream_that_may_not_be_resumed_ends_broken():
     async def scenario():
-        async with World(stream_of(EVENTS, False), routes=(STREAM,)) as world:
+        async with HostHarness(stream_of(EVENTS, False), routes=(STREAM,)) as world:
             world.host.context.started_s -= 100.0
             try:
                 await world.ask(method="POST")
@@ -521,7 +521,7 @@
     # A caller takes up a stream whose connection broke. Without its last event's id
     # the stream would begin anew, and its pieces would come twice.
     async def scenario():
-        async with World(stream_of(EVENTS), routes=(RESUMABLE,)) as world:
+        async with HostHarness(stream_of(EVENTS), routes=(RESUMABLE,)) as world:
             _, _, body = await world.ask(method="POST", **{"Last-Event-Id": "3"})
             assert body == b"".join(EVENTS[4:])
 
--- a/libs/entry/tests/test_web.py
+++ b/libs/entry/tests/test_host_api.py
@@ -1,7 +1,7 @@
 """What an entry host answers to the platform, to peers, and to who looks for hosts."""
 
 import aiohttp
-from worlds import World, run
+from host_harness import HostHarness, run
 
 
 async def get(host, name, path, method="GET"):
@@ -13,7 +13,7 @@
 
 def test_each_question_is_answered_on_its_listener():
     async def scenario():
-        async with World() as host:
+        async with HostHarness() as host:
             status, body = await get(host, "ready", "/v1/readyz")
             assert (status, body) == (200, b'{"ready": true}')
             status, body = await get(host, "directory", "/v1/resolve?name=x&zone=a")
@@ -27,7 +27,7 @@
 
 def test_questions_that_make_no_sense_are_refused():
     async def scenario():
-        async with World() as host:
+        async with HostHarness() as host:
             assert (await get(host, "ready", "/v1/other"))[0] == 404
             assert (await get(host, "ready", "/v1/readyz", "POST"))[0] == 405
             assert (await get(host, "ready", "/v1/readyz", "HEAD"))[0] == 200
@@ -41,7 +41,7 @@
 
 def test_metrics_are_told_before_and_after_the_first_request():
     async def scenario():
-        async with World() as host:
+        async with HostHarness() as host:
             status, body = await get(host, "ready", "/metrics")
             assert status == 200
             assert b"gypsumusher_configuration_version 1" in body
--- a/libs/entry/tests/test_large_configuration.py
+++ b/libs/entry/tests/test_large_configuration.py
@@ -2,9 +2,9 @@
 
 import contextlib
 
+from host_harness import ANY, ask, configuration, entry, host_without_store, run, until
 from platform_samples import many_routes
 from replies import ScriptedEndpoint, answer_to, request_id_of
-from worlds import ANY, ask, configuration, entry, one_seeing_one_not, run, until
 
 # Routes that an operator adds to a large deployment at once.
 MANY_ROUTES = 1400
@@ -24,7 +24,7 @@
     """Give both endpoints and two hosts, one of which hears from the other alone."""
     endpoints = [ScriptedEndpoint(well), ScriptedEndpoint(well)]
     addresses = [await endpoint.start() for endpoint in endpoints]
-    async with one_seeing_one_not(*addresses) as two:
+    async with host_without_store(*addresses) as two:
         two.link.bytes_per_s = LINK_BYTES_PER_S
         yield endpoints, addresses, two
     for endpoint in endpoints:
@@ -74,7 +74,7 @@
     # served old routes and sent work to endpoints that had left, though the store
     # would have answered it at once: it left that to the hosts that watch.
     async def scenario():
-        async with one_seeing_one_not() as two:
+        async with host_without_store() as two:
             two.context.watches_store = lambda: False
             two.link.set_holds(False, True)
             for store in (two.store, two.other_store):
@@ -109,7 +109,7 @@
     # the endpoint new work for two seconds more: after a failed call it waits for
     # entries that lapsed while the store was away. But its peers saw the store.
     async def scenario():
-        async with one_seeing_one_not("127.0.0.1:9", "127.0.0.1:8") as two:
+        async with host_without_store("127.0.0.1:9", "127.0.0.1:8") as two:
             two.context.watches_store = lambda: False
             other = await let_one_leave_unheard(two)
             await until(lambda: "news_overdue" in [event for event, _ in two.lines])
@@ -125,7 +125,7 @@
     # for its full link, while its peers see the store. It waits for entries that never
     # lapsed, and sends work to an endpoint that has left for two seconds more.
     async def scenario():
-        async with one_seeing_one_not("127.0.0.1:9", "127.0.0.1:8") as two:
+        async with host_without_store("127.0.0.1:9", "127.0.0.1:8") as two:
             other = await let_one_leave_unheard(two)
             other.fault = ""
             await until(lambda: two.context.endpoints.revision == other.revision)
@@ -139,7 +139,7 @@
     # the newer one understands. Each older host would read a megabyte from the store
     # several times a second, and the store turn others away, until it is replaced.
     async def scenario():
-        async with one_seeing_one_not() as two:
+        async with host_without_store() as two:
             two.context.watches_store = lambda: False
             two.link.set_holds(False, True)
             two.other_store.put("config", "main", {"version": 2, "routes": "new"})
@@ -162,7 +162,7 @@
     # and asked again from the first byte, and so without end, while each try took its
     # part of the link from the others. Its callers were served by the old routes.
     async def scenario():
-        async with one_seeing_one_not() as two:
+        async with host_without_store() as two:
             two.link.bytes_per_s = CROWDED_BYTES_PER_S
             routes = many_routes(MANY_ROUTES, ANY)
             two.store.put("config", "main", configuration(2, *routes))
--- a/libs/entry/tests/test_peer_beliefs.py
+++ b/libs/entry/tests/test_peer_sync.py
@@ -4,13 +4,13 @@
 import contextlib
 
 import pytest
+from host_harness import ANY, configuration, entry, host_without_store, run, until
 from platform_samples import many_routes
-from worlds import ANY, configuration, entry, one_seeing_one_not, run, until
 
-from gypsumusher_entry.belief_messages import (
-    BeliefEncoder,
-    Beliefs,
-    decode_beliefs,
+from gypsumusher_entry.sync_messages import (
+    SyncResponse,
+    SyncResponseEncoder,
+    decode_sync_response,
 )
 from gypsumusher_ports import DecodeError, EndpointRecord, StoredObject
 
@@ -26,7 +26,7 @@
     # the others callers of the new routes get 404 until the day ends. The answer of
     # a peer came in several pieces, and the first was taken for all of it.
     async def scenario():
-        async with one_seeing_one_not() as two:
+        async with host_without_store() as two:
             store, context, lines = two.store, two.context, two.lines
             store.put(
                 "config", "main", configuration(2, *many_routes(MANY_ROUTES, ANY))
@@ -42,7 +42,7 @@
     # The link to the only peer that knows more holds back its answers for a while.
     # The host goes on by what it knows, and hears the news once the link is well.
     async def scenario():
-        async with one_seeing_one_not() as two:
+        async with host_without_store() as two:
             store, link, context, lines = two.store, two.link, two.context, two.lines
             link.set_holds(False, True)
             store.put(
@@ -62,7 +62,7 @@
     # Callers of one host are served by old routes while all others go by the new ones.
     # The host is well by all that its log and metrics tell, so nobody looks there.
     async def scenario():
-        async with one_seeing_one_not() as two:
+        async with host_without_store() as two:
             two.link.set_holds(False, True)
             two.store.put("config", "main", configuration(2, ANY, ANY))
             await until(lambda: "news_overdue" in [event for event, _ in two.lines])
@@ -81,7 +81,7 @@
 
 def test_the_log_names_endpoints_of_which_a_peer_says_no_more():
     async def scenario():
-        async with one_seeing_one_not("127.0.0.1:9", "127.0.0.1:8") as two:
+        async with host_without_store("127.0.0.1:9", "127.0.0.1:8") as two:
             two.store.remove("servers", "e-1")
             await until(lambda: "e-1" not in two.context.endpoints.states)
             told = [fields for event, fields in two.lines if "from_peer" in event]
@@ -95,7 +95,7 @@
 
     async def scenario():
         addresses = [f"127.0.0.1:{port}" for port in range(9, 9 + MANY_ENDPOINTS // 10)]
-        async with one_seeing_one_not(*addresses) as two:
+        async with host_without_store(*addresses) as two:
             context = two.context
             # Until then the peer waits for entries that may come back.
             await until(lambda: context.endpoints.revision > 0)
@@ -115,15 +115,15 @@
 
 def test_a_change_is_encoded_with_what_is_gone():
     changed = beliefs()._replace(configuration=None, removed=("e-7", "e-8"))
-    data = BeliefEncoder().encode(changed)
+    data = SyncResponseEncoder().encode(changed)
     assert len(data) < 300
-    assert decode_beliefs("host-2", data) == changed
+    assert decode_sync_response("host-2", data) == changed
 
 
 def test_ids_of_another_type_are_refused():
     changed = beliefs()._replace(removed=(7,))
     with pytest.raises(DecodeError):
-        decode_beliefs("host-2", BeliefEncoder().encode(changed))
+        decode_sync_response("host-2", SyncResponseEncoder().encode(changed))
 
 
 def records(count):
@@ -140,35 +140,35 @@
 def beliefs(routes=1, endpoints=1):
     content = configuration(7, *many_routes(routes, ANY))
     stored = StoredObject("main", 5, content, None)
-    return Beliefs(stored, records(endpoints), 9, True)
+    return SyncResponse(stored, records(endpoints), 9, True)
 
 
 def test_beliefs_of_the_largest_size_fit_a_weak_link():
     # Sixty hosts ask within a second for a configuration of 1,400 routes, some over a
     # link of 5 Mbit/s that callers use too.
     told = beliefs(MANY_ROUTES, MANY_ENDPOINTS)
-    data = BeliefEncoder().encode(told)
+    data = SyncResponseEncoder().encode(told)
     assert len(data) < WEAK_LINK_BYTES
-    assert decode_beliefs("host-2", data) == told
+    assert decode_sync_response("host-2", data) == told
 
 
 def test_what_was_packed_for_one_host_serves_the_next_and_no_other_version():
-    encoder = BeliefEncoder()
+    encoder = SyncResponseEncoder()
     first = beliefs(2)
-    assert decode_beliefs("a", encoder.encode(first)) == first
-    assert decode_beliefs("a", encoder.encode(first)) == first
+    assert decode_sync_response("a", encoder.encode(first)) == first
+    assert decode_sync_response("a", encoder.encode(first)) == first
     newer = first.configuration._replace(revision=6, content=configuration(8, ANY))
     second = first._replace(configuration=newer)
-    assert decode_beliefs("a", encoder.encode(second)) == second
+    assert decode_sync_response("a", encoder.encode(second)) == second
 
 
 @pytest.mark.parametrize("kept_part", [0.0, 0.3, 0.99])
 def test_part_of_an_answer_is_refused_whole(kept_part):
     # A peer is killed in the middle of its answer, and the connection ends as a whole
     # one would. Half a list would drop the endpoints of its other half.
-    data = BeliefEncoder().encode(beliefs(50, 50))
+    data = SyncResponseEncoder().encode(beliefs(50, 50))
     with pytest.raises(DecodeError):
-        decode_beliefs("host-2", data[: int(len(data) * kept_part)])
+        decode_sync_response("host-2", data[: int(len(data) * kept_part)])
 
 
 def test_few_bytes_that_unpack_to_very_many_are_refused():
@@ -176,7 +176,7 @@
     content = {"version": 7, "padding": "0" * 50_000_000}
     told = beliefs()._replace(configuration=StoredObject("main", 5, content, None))
     with pytest.raises(DecodeError):
-        decode_beliefs("host-2", BeliefEncoder().encode(told))
+        decode_sync_response("host-2", SyncResponseEncoder().encode(told))
 
 
 def test_a_body_over_the_limit_is_left_unread():
@@ -192,7 +192,7 @@
     async def scenario():
         server = await asyncio.start_server(endless, "127.0.0.1", 0)
         port = server.sockets[0].getsockname()[1]
-        async with one_seeing_one_not() as two:
+        async with host_without_store() as two:
             store, link, context, lines = two.store, two.link, two.context, two.lines
             link.target = f"127.0.0.1:{port}"
             link.reset()
--- a/libs/entry/tests/test_kept_parts.py
+++ b/libs/entry/tests/test_prefix_cache_recovery.py
@@ -3,7 +3,7 @@
 import asyncio
 from types import SimpleNamespace
 
-from gypsumusher_entry.kept_parts import KeptParts
+from gypsumusher_entry.prefix_cache_recovery import PrefixCacheRecovery
 from gypsumusher_ports import EndpointRecord
 from gypsumusher_routing import EndpointState
 
@@ -46,7 +46,7 @@
 def asked_within(seconds, is_active):
     async def scenario():
         host = StartingHost(is_active)
-        await KeptParts(host).start()
+        await PrefixCacheRecovery(host).start()
         await asyncio.sleep(seconds)
         host.tasks[0].cancel()
         return host.asked
--- a/libs/entry/tests/test_retry_budget.py
+++ b/libs/entry/tests/test_retry_budget.py
@@ -4,12 +4,11 @@
 from collections import Counter
 
 import pytest
-from replies import answer_to, request_id_of
-from worlds import (
+from host_harness import (
     BOUNDS,
     ONCE,
     STREAM,
-    World,
+    HostHarness,
     configuration,
     entry,
     not_run,
@@ -17,11 +16,12 @@
     settings,
     until,
 )
+from replies import answer_to, request_id_of
 
 from gypsumusher_entry.context import Context
 from gypsumusher_entry.exchange import Exchange
 from gypsumusher_entry.metrics import Metrics
-from gypsumusher_entry.sending import silence_limit
+from gypsumusher_entry.sending_to_endpoints import silence_timeout
 from gypsumusher_platform import decode_configuration
 from gypsumusher_routing import HostNews
 
@@ -48,7 +48,7 @@
     """Engines rejected prefills, and each run after one came on top of the budget."""
 
     async def scenario():
-        async with World(*[not_run] * 4, routes=(STREAM,)) as world:
+        async with HostHarness(*[not_run] * 4, routes=(STREAM,)) as world:
             await make_engines(world, "prefill", "prefill", "decode", "decode")
             world.host.context.started_s -= 100.0
             for number in range(REQUESTS):
@@ -80,7 +80,7 @@
 
     async def scenario():
         route = {**STREAM, "timeout_ms": 7000, "goal_ms": 1500}
-        async with World(reads_late, streams, routes=(route,)) as world:
+        async with HostHarness(reads_late, streams, routes=(route,)) as world:
             await make_engines(world, "prefill", "decode", route=route)
             context = world.host.context
             # Its share of the retries is empty as after a start.
@@ -105,13 +105,13 @@
     """A wait was over and left its engine at the same moment, and a retry was lost."""
 
     async def scenario():
-        async with World(not_run, routes=(STREAM,)) as world:
+        async with HostHarness(not_run, routes=(STREAM,)) as world:
             exchange = Exchange(world.host.context, None, None)
             exchange.route = world.host.context.configuration.routes[0]
             reserved = []
             exchange.try_reserve_send = lambda: reserved.append(1)
             with pytest.raises(TimeoutError):
-                async with silence_limit(exchange, 0.05, 0.05):
+                async with silence_timeout(exchange, 0.05, 0.05):
                     await asyncio.sleep(1.0)
             await asyncio.sleep(0.1)
             assert not reserved
@@ -123,7 +123,7 @@
     """An endpoint was down, and its refused connections used up the retries."""
 
     async def scenario():
-        async with World(not_run, not_run, routes=(ONCE,)) as world:
+        async with HostHarness(not_run, not_run, routes=(ONCE,)) as world:
             for endpoint in world.endpoints:
                 await endpoint.close()
             status, headers, _ = await world.ask(method="POST")
--- a/libs/entry/tests/test_ticks.py
+++ b/libs/entry/tests/test_shared_ticks.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from worlds import run, settings
+from host_harness import run, settings
 
 from gypsumusher_entry.context import Context
 from gypsumusher_entry.metrics import Metrics
--- a/libs/entry/tests/test_stage_orders.py
+++ b/libs/entry/tests/test_stage_orders.py
@@ -3,8 +3,8 @@
 import asyncio
 import json
 
+from host_harness import STREAM, HostHarness, configuration, entry, run, until
 from replies import answer_to
-from worlds import STREAM, World, configuration, entry, run, until
 
 
 class Engine:
@@ -65,7 +65,7 @@
     engines = [Engine("prefill"), Engine("prefill")]
 
     async def scenario():
-        async with World(*engines, routes=(STREAM,)) as world:
+        async with HostHarness(*engines, routes=(STREAM,)) as world:
             await make_readers_only(world)
             status, headers, _ = await world.ask(
                 method="POST", **{"X-Gypsumusher-Token-Count": "3000,4"}
@@ -95,7 +95,7 @@
     engines = [Engine("prefill", answers=False), Engine("prefill", answers=False)]
 
     async def scenario():
-        async with World(*engines, routes=(STREAM,)) as world:
+        async with HostHarness(*engines, routes=(STREAM,)) as world:
             await make_readers_only(world)
             await until(lambda: "stage_order_ended" in [e for e, _ in world.log_lines])
             fields = dict(world.log_lines)["stage_order_ended"]
@@ -113,7 +113,7 @@
     held |= {"duration_s": 60.0, "released": False, "nonce": "n", "open_terms": []}
 
     async def scenario():
-        world = World(*engines, routes=(STREAM,))
+        world = HostHarness(*engines, routes=(STREAM,))
         world.store.put("leases", "stages", held)
         async with world:
             await make_readers_only(world)
--- a/libs/entry/tests/test_overdue.py
+++ b/libs/entry/tests/test_stall_monitor.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from gypsumusher_entry.overdue import OverdueWatch
+from gypsumusher_entry.stall_monitor import StallMonitor
 from gypsumusher_ports import EndpointRecord
 from gypsumusher_routing import EndpointState
 
@@ -15,7 +15,7 @@
             "e-0", 1, "llm", "10.0.0.1:80", "a", 64, False, 0.0, "prefill", 1
         )
         self.state = EndpointState(record)
-        self.watch = OverdueWatch(
+        self.watch = StallMonitor(
             lambda: 0.0, lambda *args, **fields: None, asyncio.sleep
         )
         self.watch.begin("r-1", self.state, 1.0)
--- a/libs/entry/tests/test_store_calls.py
+++ b/libs/entry/tests/test_store_calls.py
@@ -2,10 +2,10 @@
 
 import asyncio
 
+from host_harness import ANY, configuration, entry, run, settings, until
 from processes import free_ports
-from worlds import ANY, configuration, entry, run, settings, until
 
-from gypsumusher_entry import following
+from gypsumusher_entry import store_watcher
 from gypsumusher_entry.host import EntryHost
 from gypsumusher_standins.object_store import ObjectStore
 
@@ -99,7 +99,7 @@
     """At the first start each of hundreds of hosts watched an empty list."""
     # Eight hosts on one busy machine may hear of each other later than hosts of their
     # own do, and one that has heard of none rightly watches.
-    monkeypatch.setattr(following, "HEARD_AFTER_S", HEARD_ON_ONE_MACHINE_S)
+    monkeypatch.setattr(store_watcher, "HEARD_AFTER_S", HEARD_ON_ONE_MACHINE_S)
 
     async def scenario():
         fleet = Fleet()
--- a/soak/world.py
+++ b/soak/world.py
@@ -14,8 +14,8 @@
 from proxies import Proxy
 from records import ANY_TIMES, ONCE, STREAM, Records
 
-from gypsumusher_entry.belief_messages import decode_beliefs
-from gypsumusher_entry.peer_beliefs import BELIEFS_PATH
+from gypsumusher_entry.peer_sync import PEER_SYNC_PATH
+from gypsumusher_entry.sync_messages import decode_sync_response
 from gypsumusher_ports import DecodeError
 from gypsumusher_standins.object_store import ObjectStore
 
@@ -273,9 +273,11 @@
         try:
             timeout = aiohttp.ClientTimeout(total=1.0)
             async with aiohttp.ClientSession(timeout=timeout) as session:
-                async with session.get(f"http://{host.peers}{BELIEFS_PATH}") as answer:
-                    beliefs = decode_beliefs(host.name, await answer.read())
+                async with session.get(
+                    f"http://{host.peers}{PEER_SYNC_PATH}"
+                ) as answer:
+                    response = decode_sync_response(host.name, await answer.read())
         except (aiohttp.ClientError, TimeoutError, OSError, DecodeError):
             return 0
-        stored = beliefs.configuration
+        stored = response.configuration
         return 0 if stored is None else stored.content["version"]
