--- a/libs/daemon/gypsumusher_daemon/cmdline.py
+++ b/libs/daemon/gypsumusher_daemon/cmdline.py
@@ -6,10 +6,10 @@
 
 # First, since it keeps io_uring off before uvloop is imported.
 from gypsumusher_process import (  # isort: skip
-    check_no_ring,
+    check_no_io_uring,
     create_log,
     format_fields,
-    handle_signals,
+    install_signal_handlers,
     run_program,
 )
 
@@ -62,14 +62,14 @@
     """Start the host, wait for a signal, stop as planned."""
     log = create_log(settings["host.name"], settings["log.level"])
     host = EntryHost(settings, log)
-    stop = handle_signals(functools.partial(_reload, host, path))
+    stop = install_signal_handlers(functools.partial(_reload, host, path))
     try:
         addresses = await host.start()
     except OSError as error:
         await host.close()
         raise StartError(f"step=listen {error}; free the address") from error
     try:
-        check_no_ring()
+        check_no_io_uring()
     except StartError:
         await host.close()
         raise
--- a/libs/entry/gypsumusher_entry/cmdline.py
+++ b/libs/entry/gypsumusher_entry/cmdline.py
@@ -7,9 +7,9 @@
 
 # First, since it keeps io_uring off before uvloop is imported.
 from gypsumusher_process import (  # isort: skip
-    check_no_ring,
+    check_no_io_uring,
     create_bounded_log,
-    handle_signals,
+    install_signal_handlers,
     run_program,
 )
 
@@ -69,7 +69,7 @@
     bounded_log = create_bounded_log(settings.name, loop)
     log = bounded_log.log
     host = EntryHost(settings, log, metrics_port, policy)
-    stop = handle_signals(functools.partial(_reload, host))
+    stop = install_signal_handlers(functools.partial(_reload, host))
     off = [name for name in policy._fields if not getattr(policy, name)]
     log(
         "info",
@@ -83,7 +83,7 @@
     except OSError as error:
         await host.close()
         raise StartError(f"step=listen {error}; free the address") from error
-    check_no_ring()
+    check_no_io_uring()
     # What was loaded stays; collections need not look at it again.
     gc.freeze()
     log("info", "ready", version=host.context.configuration_version)
--- a/libs/entry/gypsumusher_entry/context.py
+++ b/libs/entry/gypsumusher_entry/context.py
@@ -7,7 +7,7 @@
 from gypsumusher_entry.lag_watch import LagWatch
 from gypsumusher_entry.overdue import OverdueWatch
 from gypsumusher_http import ConnectionPool
-from gypsumusher_platform import decode_head
+from gypsumusher_platform import decode_response_head
 from gypsumusher_ports import DecodeError
 from gypsumusher_routing import (
     ALL_ON,
@@ -72,7 +72,7 @@
         self.endpoints = EndpointTable()
         self.hosts = HostTable(settings.name)
         self.lags = LagWatch(self)
-        self.pool = ConnectionPool(clock, decode_head, CONNECT_TIMEOUT_S)
+        self.pool = ConnectionPool(clock, decode_response_head, CONNECT_TIMEOUT_S)
         self.overdue = OverdueWatch(clock, log, self.next_tick)
         # Engines that this host has ordered to change their stage, for the peers.
         self.ordered_stages = []
--- a/libs/entry/gypsumusher_entry/exchange.py
+++ b/libs/entry/gypsumusher_entry/exchange.py
@@ -86,7 +86,7 @@
         """Until when the first event of a stream is of use."""
         route = self.route
         waited_s = self.context.clock() - self.arrived_s
-        abandoned_s = abandoned_after_s(route.objective_s, route.pause_limit_s)
+        abandoned_s = abandoned_after_s(route.objective_s, route.max_event_gap_s)
         given_up_s = min(abandoned_s - waited_s, self.left_s)
         wanted_s = first_event_limit_s(
             abandoned_s - waited_s, self.request.generation, self.left_s
@@ -170,13 +170,13 @@
         if self.reply.is_started:
             self.reply.abort()
         else:
-            self.reply.send_whole(status, headers, body)
+            self.reply.send(status, headers, body)
         self.outcome = f"{status}:{reason}"
 
     def deliver(self, head, body):
         """Pass an endpoint's whole answer on."""
         self.first_s = self.context.clock()
-        self.reply.send_whole(head.status, head.headers, body)
+        self.reply.send(head.status, head.headers, body)
         self.outcome = f"{head.status}:answered"
 
     def give_up(self, failed_answer, error, retry_after_s):
@@ -184,7 +184,7 @@
 
         Parameters
         ----------
-        failed_answer : (AnswerHead, bytes) or None
+        failed_answer : (ResponseHead, bytes) or None
             An endpoint's own failure; it is passed on where nothing has been yet.
         error : CallError, NoRetryError or None
             How the last send failed; None when there was nowhere to send.
@@ -239,8 +239,8 @@
     exchange.route = route
     exchange.service = pick_service(route, context.draw)
     patience_s = route.timeout_s
-    if request.patience_s is not None:
-        patience_s = min(patience_s, request.patience_s)
+    if request.caller_timeout_s is not None:
+        patience_s = min(patience_s, request.caller_timeout_s)
     exchange.ends_s = exchange.arrived_s + patience_s
     serve = serve_stream if route.kind == STREAM else serve_from_service
     try:
@@ -279,7 +279,7 @@
         "request_ended",
         outcome=exchange.outcome,
         route=route.name if route is not None else None,
-        rank=route.rank if route is not None else None,
+        rank=route.priority if route is not None else None,
         service=exchange.service,
         version=context.configuration_version,
         sends=exchange.account.arrivals,
@@ -300,6 +300,6 @@
 
 def _pause_limit_ms(exchange):
     """Return the pause that a stream with events may have; None for all others."""
-    if not exchange.events or exchange.route.pause_limit_s is None:
+    if not exchange.events or exchange.route.max_event_gap_s is None:
         return None
-    return round(exchange.route.pause_limit_s * 1000)
+    return round(exchange.route.max_event_gap_s * 1000)
--- a/libs/entry/gypsumusher_entry/following.py
+++ b/libs/entry/gypsumusher_entry/following.py
@@ -221,7 +221,7 @@
                 context.endpoints.end_grace()
             for endpoint_id in context.endpoints.drop_missing(context.clock()):
                 context.log("info", "endpoint_dropped", endpoint=endpoint_id)
-            context.pool.drop_idle()
+            context.pool.close_expired()
             for state in context.endpoints.states.values():
                 state.prefixes.drop_coming(context.clock())
                 state.drop_stage_news(context.clock())
@@ -282,7 +282,7 @@
         address=record.address,
         zone=record.zone,
         stage=record.stage,
-        leaving=record.is_leaving,
-        beat=record.beat,
+        leaving=record.is_draining,
+        beat=record.heartbeat_count,
         source="store",
     )
--- a/libs/entry/gypsumusher_entry/host.py
+++ b/libs/entry/gypsumusher_entry/host.py
@@ -153,19 +153,19 @@
         began_s = context.clock()
         ends_s = began_s + bounds.stop_s - STOP_RESERVE_S
         context.is_leaving = True
-        self._listener.is_leaving = True
+        self._listener.is_draining = True
         self._gossip.tell_now()
-        self.log("info", "stop_began", busy=self._listener.busy())
+        self.log("info", "stop_began", busy=self._listener.count_active())
         kept_s = DIRECTORY_KEPT_FACTOR * context.directory_ttl_s()
         await asyncio.sleep(min(kept_s, bounds.stop_s / 2.0))
         self._listener.stop_accepting()
-        while self._listener.busy() and context.clock() < ends_s:
+        while self._listener.count_active() and context.clock() < ends_s:
             await asyncio.sleep(POLL_S)
             self._gossip.tell_now()
         self.log(
             "info",
             "stop_done",
-            busy=self._listener.busy(),
+            busy=self._listener.count_active(),
             took_s=context.clock() - began_s,
         )
         await self.close()
--- a/libs/entry/gypsumusher_entry/kept_parts.py
+++ b/libs/entry/gypsumusher_entry/kept_parts.py
@@ -9,7 +9,7 @@
 
 from gypsumusher_entry.sending import ask_engine
 from gypsumusher_http import CallError
-from gypsumusher_platform import decode_kept_parts, encode_kept_parts_call
+from gypsumusher_platform import decode_cached_parts, encode_cached_parts_request
 from gypsumusher_ports import DecodeError
 
 __all__ = ["KeptParts"]
@@ -62,10 +62,10 @@
     async def _ask(self, state):
         """Take over what one engine keeps."""
         context, record = self._context, state.record
-        call = encode_kept_parts_call(record.address)
+        call = encode_cached_parts_request(record.address)
         try:
             reply = await ask_engine(context, record, call, ANSWER_TIMEOUT_S)
-            parts = decode_kept_parts(record.endpoint_id, reply.body)
+            parts = decode_cached_parts(record.endpoint_id, reply.body)
         except (CallError, DecodeError, TimeoutError) as error:
             # Without its list the engine is used as if it kept nothing.
             context.log(
--- a/libs/entry/gypsumusher_entry/reading.py
+++ b/libs/entry/gypsumusher_entry/reading.py
@@ -8,8 +8,8 @@
     silence_limit,
 )
 from gypsumusher_http import CallError
-from gypsumusher_platform import decode_prefill, encode_free_handle
-from gypsumusher_ports import DecodeError, Send
+from gypsumusher_platform import decode_prefill_result, encode_handle_release
+from gypsumusher_ports import DecodeError, SendOptions
 from gypsumusher_routing import (
     HOPELESS,
     TIMELY,
@@ -34,7 +34,7 @@
     ----------
     state : EndpointState
         The engine.
-    answer : PrefillAnswer
+    answer : PrefillResult
         What it said.
     """
 
@@ -50,7 +50,7 @@
     async def free(self, context):
         """Have the engine free it: nobody will take it any more."""
         record = self.state.record
-        call = encode_free_handle(record.address, self.handle)
+        call = encode_handle_release(record.address, self.handle)
         try:
             await ask_engine(context, record, call, FREE_TIMEOUT_S)
         except (CallError, TimeoutError) as error:
@@ -113,10 +113,10 @@
 async def _read_at(exchange, reading):
     """Have one engine read the prompt; None when it doesn't."""
     context, state = exchange.context, reading.state
-    send = Send(
+    send = SendOptions(
         state.record.endpoint_id,
         exchange.patience_s,
-        urgency=urgency_of(exchange.route.rank, reading.lane),
+        urgency=urgency_of(exchange.route.priority, reading.lane),
         is_prefill=True,
         kv_fetch=reading.fetch_address,
     )
@@ -201,6 +201,6 @@
         reason = "full" if head.is_not_run else f"status_{head.status}"
         raise CallError("prefill", peer, reason, False)
     try:
-        return decode_prefill(peer, body)
+        return decode_prefill_result(peer, body)
     except DecodeError as error:
         raise CallError("prefill", peer, "garbled", False) from error
--- a/libs/entry/gypsumusher_entry/registration.py
+++ b/libs/entry/gypsumusher_entry/registration.py
@@ -66,11 +66,11 @@
 
     async def _reread(self):
         """Read all records as they were some seconds ago, which costs less."""
-        return await self._read(is_stale=True)
+        return await self._read(allow_stale=True)
 
-    async def _read(self, is_stale=False):
+    async def _read(self, allow_stale=False):
         """Read all records; say whether that worked."""
-        result = await self._store.list(HOSTS_KIND, is_stale=is_stale)
+        result = await self._store.list(HOSTS_KIND, allow_stale=allow_stale)
         if isinstance(result, Failure):
             return self._note("records_read", result)
         context = self._context
--- a/libs/entry/gypsumusher_entry/sending.py
+++ b/libs/entry/gypsumusher_entry/sending.py
@@ -5,7 +5,7 @@
 from typing import NamedTuple
 
 from gypsumusher_http import CallError
-from gypsumusher_platform import encode_send
+from gypsumusher_platform import encode_endpoint_request
 from gypsumusher_ports import ANY_TIMES
 
 __all__ = [
@@ -51,12 +51,12 @@
     state : EndpointState
         The endpoint; it is checked once more right before the first byte, since it may
         have begun to leave while a connection was opened.
-    send : Send
+    send : SendOptions
         What this send adds.
 
     Returns
     -------
-    Answer
+    Response
 
     Raises
     ------
@@ -79,7 +79,7 @@
         # makes it sure that nothing ran.
         exchange.possible_runs += 1
         exchange.ran_at = record.endpoint_id
-    data = encode_send(exchange.request, send)
+    data = encode_endpoint_request(exchange.request, send)
     return connection.send(data, exchange.request.request_id or None)
 
 
@@ -90,7 +90,7 @@
     is_fresh = state.health.penalty(context.clock()) >= FRESH_FROM_PENALTY
     connection = await context.acquire(record, limit, is_fresh)
     if not context.endpoints.is_current(state):
-        context.pool.keep(connection)
+        context.pool.release(connection)
         raise CallError("connect", record.address, "left", False)
     return connection
 
@@ -104,7 +104,7 @@
         The request.
     state : EndpointState
         The endpoint.
-    head : AnswerHead
+    head : ResponseHead
         The head.
 
     Raises
@@ -119,7 +119,7 @@
         exchange.possible_runs -= 1
         raise CallError("run", record.address, "full", False)
     is_success = 200 <= head.status < 300
-    if is_success and (not head.is_sealed or head.is_encoded):
+    if is_success and (not head.is_signed or head.has_content_encoding):
         raise CallError("run", record.address, "garbled", True)
 
 
--- a/libs/entry/gypsumusher_entry/service_exchange.py
+++ b/libs/entry/gypsumusher_entry/service_exchange.py
@@ -11,7 +11,7 @@
     open_send,
 )
 from gypsumusher_http import CallError
-from gypsumusher_ports import ANY_TIMES, AnswerHead, Send
+from gypsumusher_ports import ANY_TIMES, ResponseHead, SendOptions
 from gypsumusher_routing import EndpointState, choose_endpoint
 
 __all__ = ["serve_from_service"]
@@ -32,7 +32,7 @@
     """How one send ended: with an answer, or with an error."""
 
     state: EndpointState
-    head: AnswerHead | None
+    head: ResponseHead | None
     body: bytes
     error: CallError | NoRetryError | None
 
@@ -172,7 +172,7 @@
 
 async def _send(exchange, state):
     """Send once; return how that ended."""
-    send = Send(state.record.endpoint_id, exchange.patience_s)
+    send = SendOptions(state.record.endpoint_id, exchange.patience_s)
     answer = None
     limit_s = OVERDUE_OBJECTIVES * exchange.route.objective_s
     wait = exchange.context.overdue.begin(exchange.request.request_id, state, limit_s)
--- a/libs/entry/gypsumusher_entry/stage_lease.py
+++ b/libs/entry/gypsumusher_entry/stage_lease.py
@@ -50,7 +50,7 @@
             f"{settings.name}/{context.started_ms}",
             # Orders of two hosts stay as far apart as the operator asks, also when
             # the first one's last order was held up by its own pause.
-            bounds.lease_s + bounds.thaw_s,
+            bounds.lease_s + bounds.resume_margin_s,
             lambda: secrets.token_hex(8),
         )
 
--- a/libs/entry/gypsumusher_entry/stage_orders.py
+++ b/libs/entry/gypsumusher_entry/stage_orders.py
@@ -5,9 +5,9 @@
 from gypsumusher_entry.sending import ask_engine
 from gypsumusher_http import CallError
 from gypsumusher_platform import (
+    decode_engine_report,
     decode_order_status,
-    decode_report,
-    encode_report_call,
+    encode_report_request,
     encode_stage_order,
 )
 from gypsumusher_ports import DecodeError, OrderOutcome
@@ -113,14 +113,14 @@
             is_switching = order is not None or (news is not None and news.is_switching)
             # One that changes its stage refuses work, which says nothing against it.
             is_sound = is_switching or not state.health.is_avoided(now_s)
-            if state.record.is_leaving or state.is_withdrawn:
+            if state.record.is_draining or state.is_withdrawn:
                 is_sound = False
             views.append(
                 EngineView(
                     endpoint_id,
                     state.stage if order is None else order.stage,
                     is_sound,
-                    state.record.is_leaving,
+                    state.record.is_draining,
                     is_switching,
                     load.running,
                 )
@@ -169,10 +169,10 @@
 
     async def _report(self, record):
         """Return an engine's report, or None when none came."""
-        call = encode_report_call(record.address)
+        call = encode_report_request(record.address)
         try:
             reply = await ask_engine(self._context, record, call, CALL_TIMEOUT_S)
-            return decode_report(record.endpoint_id, reply.body)
+            return decode_engine_report(record.endpoint_id, reply.body)
         except (CallError, DecodeError, TimeoutError) as error:
             self._context.log(
                 "info",
--- a/libs/entry/gypsumusher_entry/stream_exchange.py
+++ b/libs/entry/gypsumusher_entry/stream_exchange.py
@@ -10,7 +10,7 @@
     silence_limit,
 )
 from gypsumusher_http import CallError
-from gypsumusher_ports import Send
+from gypsumusher_ports import SendOptions
 from gypsumusher_routing import (
     HOPELESS,
     TIMELY,
@@ -154,11 +154,11 @@
         """Run the request at one engine; return the error that ended it, or None."""
         exchange, context = self._exchange, self._context
         prompt, self._prompt = self._prompt, None
-        send = Send(
+        send = SendOptions(
             state.record.endpoint_id,
             exchange.patience_s,
             urgency=urgency_of(
-                exchange.route.rank, TIMELY if reading is None else reading.lane
+                exchange.route.priority, TIMELY if reading is None else reading.lane
             ),
             kv_source=None if prompt is None else prompt.source,
             kv_fetch=None if reading is None else reading.fetch_address,
@@ -282,7 +282,7 @@
     def _allowed_gap_s(self):
         """Return how far apart the events may be for the stream to end in time."""
         exchange = self._exchange
-        limit_s = exchange.route.pause_limit_s or exchange.left_s
+        limit_s = exchange.route.max_event_gap_s or exchange.left_s
         expected = exchange.expected_events
         if expected is None:
             return limit_s
--- a/libs/entry/gypsumusher_entry/web.py
+++ b/libs/entry/gypsumusher_entry/web.py
@@ -4,7 +4,7 @@
 
 from gypsumusher_entry.belief_messages import BeliefEncoder, Beliefs
 from gypsumusher_entry.peer_beliefs import BELIEFS_PATH
-from gypsumusher_platform import READY_PATH, RESOLVE_PATH, encode_hosts
+from gypsumusher_platform import READY_PATH, RESOLVE_PATH, encode_host_list
 
 __all__ = ["create_web_handler"]
 
@@ -36,7 +36,7 @@
         if not addresses:
             addresses = [context.settings.callers_address]
         addresses.sort(key=lambda _: context.draw())
-        hosts = encode_hosts(addresses, context.directory_ttl_s())
+        hosts = encode_host_list(addresses, context.directory_ttl_s())
         return 200, [_JSON], _encode_json(hosts)
 
     def answer_beliefs(query):
@@ -65,12 +65,12 @@
         path, _, query = request.target.partition("?")
         answer = answers.get(path)
         if answer is None:
-            reply.send_whole(404, [_JSON], _encode_json({"error": "no such path"}))
+            reply.send(404, [_JSON], _encode_json({"error": "no such path"}))
             return
         if request.method not in ("GET", "HEAD"):
-            reply.send_whole(405, [("Allow", "GET, HEAD")], b"")
+            reply.send(405, [("Allow", "GET, HEAD")], b"")
             return
-        reply.send_whole(*answer(query))
+        reply.send(*answer(query))
 
     return handle
 
--- a/libs/entry/tests/test_host.py
+++ b/libs/entry/tests/test_host.py
@@ -318,7 +318,7 @@
             address = world.host.context.endpoints.states["e-0"].record.address
             world.store.put("servers", "e-0", entry(address, "draining", beat=2))
             await until(
-                lambda: world.host.context.endpoints.states["e-0"].record.is_leaving
+                lambda: world.host.context.endpoints.states["e-0"].record.is_draining
             )
             for number in range(6):
                 await world.ask(request_id=f"r-{number}")
--- a/libs/entry/tests/test_peer_beliefs.py
+++ b/libs/entry/tests/test_peer_beliefs.py
@@ -103,7 +103,7 @@
             changed = entry(addresses[0], "draining", beat=2)
             two.store.put("servers", "e-0", changed)
             states = context.endpoints.states
-            await until(lambda: states["e-0"].record.is_leaving)
+            await until(lambda: states["e-0"].record.is_draining)
             two.store.remove("servers", "e-1")
             await until(lambda: "e-1" not in context.endpoints.states)
             told = [fields for event, fields in two.lines[heard:] if "peer" in event]
--- a/libs/entry/tests/test_registration.py
+++ b/libs/entry/tests/test_registration.py
@@ -16,7 +16,7 @@
     def __init__(self, *names):
         self.records = {name: {"ip": "10.0.0.9", "zone": "a"} for name in names}
 
-    async def list(self, kind, is_stale=False):
+    async def list(self, kind, allow_stale=False):
         objects = [
             StoredObject(name, 1, content, None)
             for name, content in self.records.items()
--- a/libs/http/gypsumusher_http/__init__.py
+++ b/libs/http/gypsumusher_http/__init__.py
@@ -5,12 +5,12 @@
 """
 
 from gypsumusher_http.calls import CallLimits, HttpClient
-from gypsumusher_http.connections import Answer, ConnectionPool
+from gypsumusher_http.connections import ConnectionPool, Response
 from gypsumusher_http.errors import CallError
 from gypsumusher_http.listener import Listener, Reply
 
 __all__ = [
-    "Answer",
+    "Response",
     "CallError",
     "CallLimits",
     "HttpClient",
--- a/libs/http/gypsumusher_http/calls.py
+++ b/libs/http/gypsumusher_http/calls.py
@@ -19,20 +19,20 @@
 
     Attributes
     ----------
-    first_s : float
+    head_timeout_s : float
         Longest wait for its head, in seconds.
-    silence_s : float
+    read_timeout_s : float
         Longest wait for its next bytes, in seconds.
-    whole_s : float
+    body_timeout_s : float
         Longest time from its head to its end, in seconds.
-    size_bytes : int
+    max_body_bytes : int
         Largest body, in bytes.
     """
 
-    first_s: float
-    silence_s: float
-    whole_s: float
-    size_bytes: int
+    head_timeout_s: float
+    read_timeout_s: float
+    body_timeout_s: float
+    max_body_bytes: int
 
 
 class _Head(NamedTuple):
@@ -97,7 +97,7 @@
         data = _encode(method, address, path, query, body)
         answer = None
         try:
-            async with asyncio.timeout(limits.first_s) as timeout:
+            async with asyncio.timeout(limits.head_timeout_s) as timeout:
                 connection = await self._pool.acquire(address, address, MAX_CONNECTIONS)
                 answer = connection.send(data, None)
                 head = await answer.head()
@@ -109,16 +109,18 @@
 
     async def _read(self, answer, name, limits, timeout):
         """Return the pieces of a body."""
-        ends_s = self._clock() + limits.whole_s
+        ends_s = self._clock() + limits.body_timeout_s
         pieces, size_bytes = [], 0
         while True:
-            timeout.reschedule(min(self._clock() + limits.silence_s, ends_s))
+            timeout.reschedule(min(self._clock() + limits.read_timeout_s, ends_s))
             piece = await answer.read()
             if not piece:
                 return pieces
             size_bytes += len(piece)
-            if size_bytes > limits.size_bytes:
-                raise DecodeError("body", name, f"body over {limits.size_bytes} bytes")
+            if size_bytes > limits.max_body_bytes:
+                raise DecodeError(
+                    "body", name, f"body over {limits.max_body_bytes} bytes"
+                )
             pieces.append(piece)
 
 
--- a/libs/http/gypsumusher_http/connections.py
+++ b/libs/http/gypsumusher_http/connections.py
@@ -13,7 +13,7 @@
 
 from gypsumusher_http.errors import CallError
 
-__all__ = ["Answer", "ConnectionPool"]
+__all__ = ["Response", "ConnectionPool"]
 
 # Without an announced limit an idle connection is used for this long, in seconds.
 IDLE_LIMIT_S = 4.0
@@ -31,7 +31,7 @@
 _NO_BODY_STATUS = (204, 304)
 
 
-class Answer:
+class Response:
     """One answer as it comes in.
 
     Parameters
@@ -154,7 +154,7 @@
 
     def send(self, data, request_id):
         """Write a request; return its answer."""
-        self._answer = Answer(self, request_id)
+        self._answer = Response(self, request_id)
         self._strange_answers = 0
         self._is_skipping = False
         self._transport.write(data)
@@ -169,7 +169,7 @@
             self._transport.get_write_buffer_size() == 0
         )
         if answer.is_complete and is_sent and self.is_open:
-            self._pool.keep(self)
+            self._pool.release(self)
             return
         self.abort()
 
@@ -214,7 +214,7 @@
 
     def connection_lost(self, error):
         self._transport = None
-        self._pool.forget(self)
+        self._pool.discard(self)
         if self._answer is None or self._answer.is_complete:
             return
         if error is None and self._ends_with_connection and not self._is_skipping:
@@ -311,9 +311,9 @@
         self._connect_timeout_s = connect_timeout_s
         self._idle = {}
         self._open = {}
-        self.opened = 0
+        self.opened_count = 0
 
-    async def acquire(self, key, address, connections_max, is_fresh=False):
+    async def acquire(self, key, address, max_connections, requires_new=False):
         """Return a connection to one process.
 
         Parameters
@@ -322,9 +322,9 @@
             The process; one that comes later at the same address has another key.
         address : str
             Its ``ip:port``.
-        connections_max : int
+        max_connections : int
             Connections that this host may have there.
-        is_fresh : bool
+        requires_new : bool
             Whether a kept connection won't do.
 
         Raises
@@ -334,7 +334,7 @@
         """
         idle = self._idle.get(key, [])
         now_s = self._clock()
-        while idle and not is_fresh:
+        while idle and not requires_new:
             connection = idle.pop()
             if not connection.is_open:
                 continue
@@ -342,16 +342,16 @@
                 connection.abort()
                 continue
             return connection
-        if len(self._open.get(key, ())) >= max(MIN_CONNECTIONS, connections_max):
+        if len(self._open.get(key, ())) >= max(MIN_CONNECTIONS, max_connections):
             raise CallError("connect", address, "no_connection", False)
         return await self._connect(key, address)
 
-    def keep(self, connection):
+    def release(self, connection):
         """Take back a connection whose answer was whole."""
         connection.idle_since_s = self._clock()
         self._idle.setdefault(connection.key, []).append(connection)
 
-    def forget(self, connection):
+    def discard(self, connection):
         """Drop a connection that is closed."""
         for table in (self._idle, self._open):
             kept = table.get(connection.key)
@@ -362,7 +362,7 @@
             if not kept:
                 del table[connection.key]
 
-    def drop_idle(self):
+    def close_expired(self):
         """Close what has been idle too long."""
         now_s = self._clock()
         for kept in list(self._idle.values()):
@@ -382,15 +382,15 @@
         loop = asyncio.get_running_loop()
         connection = _Connection(self, key, address)
         self._open.setdefault(key, []).append(connection)
-        self.opened += 1
+        self.opened_count += 1
         try:
             async with asyncio.timeout(self._connect_timeout_s):
                 await loop.create_connection(lambda: connection, ip, int(port))
         except (OSError, TimeoutError) as error:
-            self.forget(connection)
+            self.discard(connection)
             raise CallError("connect", address, "connect", False) from error
         except asyncio.CancelledError:
-            self.forget(connection)
+            self.discard(connection)
             connection.abort()
             raise
         return connection
--- a/libs/http/gypsumusher_http/listener.py
+++ b/libs/http/gypsumusher_http/listener.py
@@ -65,7 +65,7 @@
         self._is_head = is_head
         self._is_chunked = False
 
-    def send_whole(self, status, headers, body):
+    def send(self, status, headers, body):
         """Write a whole answer.
 
         Parameters
@@ -155,7 +155,7 @@
     @property
     def is_closing_soon(self):
         """Whether the host takes no further request on this connection."""
-        return self._listener.is_leaving
+        return self._listener.is_draining
 
     # Called by the transport
 
@@ -213,7 +213,7 @@
 
     def on_body(self, data):
         self._body += data
-        if len(self._body) > self._listener.body_bytes_max:
+        if len(self._body) > self._listener.max_body_bytes:
             self._refuse(Refusal(413, "body_too_large", None), "")
 
     def on_message_complete(self):
@@ -252,7 +252,7 @@
     def _count_header(self, size):
         """Refuse a request whose header grows past the limit."""
         self._header_bytes += size
-        if self._header_bytes > self._listener.header_bytes_max:
+        if self._header_bytes > self._listener.max_header_bytes:
             self._refuse(Refusal(431, "header_too_large", None), "")
 
     def _begin_next(self):
@@ -295,7 +295,7 @@
             # An answer is under way; it is finished, then the connection closes.
             return
         headers, body = self._listener.encode_refusal(refusal, "")
-        Reply(self, False, False).send_whole(refusal.status, headers, body)
+        Reply(self, False, False).send(refusal.status, headers, body)
         self.close()
 
 
@@ -321,9 +321,9 @@
         self.clock = clock
         self.log = log
         self.connections = set()
-        self.is_leaving = False
-        self.header_bytes_max = FIRST_HEADER_BYTES
-        self.body_bytes_max = FIRST_BODY_BYTES
+        self.is_draining = False
+        self.max_header_bytes = FIRST_HEADER_BYTES
+        self.max_body_bytes = FIRST_BODY_BYTES
         self._idle_s = FIRST_IDLE_S
         self._header_s = FIRST_HEADER_S
         self._servers = []
@@ -348,8 +348,8 @@
 
     def set_limits(self, limits):
         """Take over the operator's limits."""
-        self.header_bytes_max = limits.header_bytes
-        self.body_bytes_max = limits.body_bytes
+        self.max_header_bytes = limits.header_bytes
+        self.max_body_bytes = limits.body_bytes
         self._idle_s = limits.idle_timeout_s
         self._header_s = limits.header_timeout_s
 
@@ -361,7 +361,7 @@
             if connection.is_idle:
                 connection.close()
 
-    def busy(self):
+    def count_active(self):
         """Return the number of connections with a request under way."""
         return sum(1 for connection in self.connections if not connection.is_idle)
 
--- a/libs/http/tests/test_calls.py
+++ b/libs/http/tests/test_calls.py
@@ -8,7 +8,9 @@
 from gypsumusher_http import CallError, CallLimits, HttpClient
 from gypsumusher_ports import DecodeError
 
-LIMITS = CallLimits(first_s=0.3, silence_s=0.2, whole_s=1.0, size_bytes=1000)
+LIMITS = CallLimits(
+    head_timeout_s=0.3, read_timeout_s=0.2, body_timeout_s=1.0, max_body_bytes=1000
+)
 
 
 def run(coroutine):
--- a/libs/http/tests/test_connections.py
+++ b/libs/http/tests/test_connections.py
@@ -7,7 +7,7 @@
 from replies import ScriptedEndpoint, answer_to, request_id_of
 
 from gypsumusher_http import CallError, ConnectionPool
-from gypsumusher_platform import decode_head
+from gypsumusher_platform import decode_response_head
 
 
 def run(coroutine):
@@ -26,7 +26,7 @@
 
 def create_pool():
     clock = asyncio.get_running_loop().time
-    return ConnectionPool(clock, decode_head, CONNECT_TIMEOUT_S)
+    return ConnectionPool(clock, decode_response_head, CONNECT_TIMEOUT_S)
 
 
 def request_bytes(request_id):
--- a/libs/http/tests/test_listener.py
+++ b/libs/http/tests/test_listener.py
@@ -47,7 +47,7 @@
 
     async def answer(self, request, reply):
         self.requests.append(request)
-        reply.send_whole(200, [("X-Seen", request.target)], request.body)
+        reply.send(200, [("X-Seen", request.target)], request.body)
 
     async def wait_for_ever(self, request, reply):
         self.requests.append(request)
@@ -194,7 +194,7 @@
     # crosses the close unread.
     async def scenario():
         async with Caller() as caller:
-            caller.listener.is_leaving = True
+            caller.listener.is_draining = True
             caller.writer.write(b"GET /a HTTP/1.1\r\nHost: x\r\n\r\n")
             head, _ = await caller.read_answer()
             assert b"Connection: close" in head
@@ -206,7 +206,7 @@
 def test_a_header_over_the_limit_is_refused_before_it_is_whole():
     async def scenario():
         async with Caller() as caller:
-            caller.listener.header_bytes_max = 100
+            caller.listener.max_header_bytes = 100
             caller.writer.write(b"GET /a HTTP/1.1\r\nX: " + b"x" * 200 + b"\r\nY: ")
             assert (await caller.reader.read()).startswith(b"HTTP/1.1 431 ")
             assert caller.requests == []
@@ -217,7 +217,7 @@
 def test_a_body_over_the_limit_is_refused():
     async def scenario():
         async with Caller() as caller:
-            caller.listener.body_bytes_max = 10
+            caller.listener.max_body_bytes = 10
             caller.writer.write(
                 b"POST /a HTTP/1.1\r\nHost: x\r\nContent-Length: 20\r\n\r\n" + b"x" * 20
             )
--- a/libs/ports/gypsumusher_ports/__init__.py
+++ b/libs/ports/gypsumusher_ports/__init__.py
@@ -4,8 +4,8 @@
 only them. They hold no behaviour and decide nothing.
 """
 
-from gypsumusher_ports.answers import AnswerHead, PrefillAnswer, Refusal
-from gypsumusher_ports.calls import CallerRequest, Generation, PromptPart, Send
+from gypsumusher_ports.answers import PrefillResult, Refusal, ResponseHead
+from gypsumusher_ports.calls import CallerRequest, Generation, PromptPart, SendOptions
 from gypsumusher_ports.configuration import (
     ANY_TIMES,
     AT_MOST_ONCE,
@@ -32,7 +32,7 @@
     "ANY_TIMES",
     "AT_MOST_ONCE",
     "STREAM",
-    "AnswerHead",
+    "ResponseHead",
     "Bounds",
     "CallerRequest",
     "Change",
@@ -49,11 +49,11 @@
     "Listing",
     "OrderOutcome",
     "PlatformError",
-    "PrefillAnswer",
+    "PrefillResult",
     "PromptPart",
     "Refusal",
     "Route",
-    "Send",
+    "SendOptions",
     "Service",
     "ServiceShare",
     "StartError",
--- a/libs/ports/gypsumusher_ports/answers.py
+++ b/libs/ports/gypsumusher_ports/answers.py
@@ -2,10 +2,10 @@
 
 from typing import NamedTuple
 
-__all__ = ["AnswerHead", "PrefillAnswer", "Refusal"]
+__all__ = ["ResponseHead", "PrefillResult", "Refusal"]
 
 
-class AnswerHead(NamedTuple):
+class ResponseHead(NamedTuple):
     """The head of an endpoint's answer.
 
     Attributes
@@ -18,9 +18,9 @@
         Whether the endpoint states that the request hasn't run and won't.
     is_wrong_endpoint : bool
         Whether another endpoint than the one that was named answers at the address.
-    is_sealed : bool
+    is_signed : bool
         Whether it bears the endpoint's signature.
-    is_encoded : bool
+    has_content_encoding : bool
         Whether its body isn't what the endpoint made, since it is encoded.
     headers : tuple of (str, str)
         Headers to pass on to the caller.
@@ -30,12 +30,12 @@
     request_id: str | None
     is_not_run: bool
     is_wrong_endpoint: bool
-    is_sealed: bool
-    is_encoded: bool
+    is_signed: bool
+    has_content_encoding: bool
     headers: tuple[tuple[str, str], ...]
 
 
-class PrefillAnswer(NamedTuple):
+class PrefillResult(NamedTuple):
     """A prompt that an engine has read and keeps.
 
     Attributes
--- a/libs/ports/gypsumusher_ports/calls.py
+++ b/libs/ports/gypsumusher_ports/calls.py
@@ -2,7 +2,7 @@
 
 from typing import NamedTuple
 
-__all__ = ["CallerRequest", "Generation", "PromptPart", "Send"]
+__all__ = ["CallerRequest", "Generation", "PromptPart", "SendOptions"]
 
 
 class PromptPart(NamedTuple):
@@ -57,7 +57,7 @@
         Headers to pass on.
     body : bytes
         The whole body.
-    patience_s : float or None
+    caller_timeout_s : float or None
         For how long the caller waits, in seconds; None when it doesn't say.
     generation : Generation or None
         What it asks of a model; None for a plain service.
@@ -71,19 +71,19 @@
     host: str
     headers: tuple[tuple[str, str], ...]
     body: bytes
-    patience_s: float | None
+    caller_timeout_s: float | None
     generation: Generation | None
     last_event_id: str | None
 
 
-class Send(NamedTuple):
+class SendOptions(NamedTuple):
     """How one request is sent to one endpoint.
 
     Attributes
     ----------
     endpoint_id : str
         Only this endpoint may run it.
-    patience_s : float
+    timeout_s : float
         When the endpoint stops work, in seconds from now.
     urgency : int or None
         From 0, first, to 9; None leaves it out.
@@ -98,7 +98,7 @@
     """
 
     endpoint_id: str
-    patience_s: float
+    timeout_s: float
     urgency: int | None = None
     is_prefill: bool = False
     kv_source: str | None = None
--- a/libs/ports/gypsumusher_ports/configuration.py
+++ b/libs/ports/gypsumusher_ports/configuration.py
@@ -48,7 +48,7 @@
         Longest time that a caller is kept waiting, in seconds.
     objective_s : float
         Time to the answer, of a stream to its first event, in seconds.
-    rank : int
+    priority : int
         Priority; 0 is served first.
     shares : tuple of ServiceShare
         Services that take its requests.
@@ -56,7 +56,7 @@
         Endpoints on which one request may run.
     is_resumable : bool
         Whether a broken stream may go on at another endpoint.
-    pause_limit_s : float or None
+    max_event_gap_s : float or None
         Longest pause between two events of a stream, in seconds.
     """
 
@@ -66,11 +66,11 @@
     kind: str
     timeout_s: float
     objective_s: float
-    rank: int
+    priority: int
     shares: tuple[ServiceShare, ...]
     max_endpoints: int
     is_resumable: bool
-    pause_limit_s: float | None
+    max_event_gap_s: float | None
 
 
 class EngineLimits(NamedTuple):
--- a/libs/ports/gypsumusher_ports/endpoints.py
+++ b/libs/ports/gypsumusher_ports/endpoints.py
@@ -22,13 +22,13 @@
         Its availability zone.
     slots : int
         Requests that it runs at once.
-    is_leaving : bool
+    is_draining : bool
         Whether it is draining.
     warmup_left_s : float
         For how much longer it is slow after its start, in seconds.
     stage : {"prefill", "decode"} or None
         Which part of a generation it does; None for a plain service.
-    beat : int
+    heartbeat_count : int
         Grows with each renewal of its entry; an entry with a lower one is older.
     """
 
@@ -38,10 +38,10 @@
     address: str
     zone: str
     slots: int
-    is_leaving: bool
+    is_draining: bool
     warmup_left_s: float
     stage: str | None
-    beat: int
+    heartbeat_count: int
 
     @property
     def incarnation(self) -> tuple[str, int]:
--- a/libs/ports/gypsumusher_ports/hosts.py
+++ b/libs/ports/gypsumusher_ports/hosts.py
@@ -18,7 +18,7 @@
         A process that is told to stop is killed after this time.
     stable_window_s : float
         Time after a disruption until the bounds hold again.
-    lease_s, thaw_s : float
+    lease_s, resume_margin_s : float
         Least time between orders of two hosts, and after a pause of the sender.
     retry_ratio, retry_slack : float
         Retries that all hosts together may make in a window: a share of the
@@ -27,7 +27,7 @@
         The window of the retries.
     directory_ttl_max_s : float
         Longest time that callers keep a list of hosts.
-    checks_fence : bool
+    requires_fence : bool
         Whether engines refuse an order with an old fencing number.
     """
 
@@ -36,12 +36,12 @@
     stop_s: float
     stable_window_s: float
     lease_s: float
-    thaw_s: float
+    resume_margin_s: float
     retry_ratio: float
     retry_slack: float
     retry_window_s: float
     directory_ttl_max_s: float
-    checks_fence: bool
+    requires_fence: bool
 
 
 class HostSettings(NamedTuple):
--- a/libs/process/gypsumusher_process/bounded.py
+++ b/libs/process/gypsumusher_process/bounded_log.py
@@ -3,7 +3,7 @@
 import os
 from datetime import UTC, datetime
 
-from gypsumusher_process.lines import LINE_FORMAT, format_fields
+from gypsumusher_process.log_lines import LINE_FORMAT, format_fields
 
 __all__ = ["BoundedLog", "create_bounded_log"]
 
--- a/libs/process/gypsumusher_process/loop.py
+++ b/libs/process/gypsumusher_process/event_loop.py
@@ -9,10 +9,10 @@
 
 from gypsumusher_ports import StartError  # noqa: E402
 
-__all__ = ["check_no_ring", "open_rings", "run"]
+__all__ = ["check_no_io_uring", "list_io_uring_fds", "run_event_loop"]
 
 
-def open_rings():
+def list_io_uring_fds():
     """Return the io_uring file descriptors that this process has open.
 
     Returns
@@ -31,7 +31,7 @@
     return rings
 
 
-def check_no_ring():
+def check_no_io_uring():
     """Refuse to go on when the loop opened an io_uring.
 
     The users' machines forbid io_uring; uvloop 0.23 opens one in spite of the
@@ -43,7 +43,7 @@
     StartError
         When a ring is open.
     """
-    rings = open_rings()
+    rings = list_io_uring_fds()
     if rings:
         raise StartError(
             "step=loop an io_uring is open; install uvloop>=0.21,<0.23 and leave "
@@ -51,7 +51,7 @@
         )
 
 
-def run(main):
+def run_event_loop(main):
     """Run a coroutine on a new uvloop loop and return its result.
 
     Parameters
--- a/libs/process/gypsumusher_process/program.py
+++ b/libs/process/gypsumusher_process/program.py
@@ -5,15 +5,15 @@
 import sys
 
 from gypsumusher_ports import GypsumusherError
-from gypsumusher_process.loop import run
+from gypsumusher_process.event_loop import run_event_loop
 
-__all__ = ["handle_signals", "run_program"]
+__all__ = ["install_signal_handlers", "run_program"]
 
 EXIT_USAGE = 2
 EXIT_FAILED = 1
 
 
-def run_program(name, load, serve, checked=None):
+def run_program(name, load, serve, format_settings=None):
     """Load a program's settings and serve with them, or only check them.
 
     Parameters
@@ -24,7 +24,7 @@
         Returns the settings.
     serve : coroutine function
         ``await serve(settings)`` until the program is told to stop.
-    checked : callable or None
+    format_settings : callable or None
         Returns the line to print of good settings; given, nothing is served.
 
     Returns
@@ -37,18 +37,18 @@
     except GypsumusherError as error:
         print(f"{name}: {error}", file=sys.stderr)
         return EXIT_USAGE
-    if checked is not None:
-        print(checked(settings))
+    if format_settings is not None:
+        print(format_settings(settings))
         return 0
     try:
-        run(serve(settings))
+        run_event_loop(serve(settings))
     except GypsumusherError as error:
         print(f"{name}: {error}", file=sys.stderr)
         return EXIT_FAILED
     return 0
 
 
-def handle_signals(reload):
+def install_signal_handlers(reload):
     """Have SIGHUP reload settings; return the event that SIGTERM and SIGINT set.
 
     Parameters
--- a/libs/process/tests/test_bounded.py
+++ b/libs/process/tests/test_bounded.py
@@ -6,7 +6,7 @@
 import pytest
 
 from gypsumusher_process import BoundedLog
-from gypsumusher_process.bounded import MAX_LINES_PER_S, MAX_WAITING_BYTES
+from gypsumusher_process.bounded_log import MAX_LINES_PER_S, MAX_WAITING_BYTES
 
 
 class Setting:
--- a/libs/routing/gypsumusher_routing/endpoint_state.py
+++ b/libs/routing/gypsumusher_routing/endpoint_state.py
@@ -96,7 +96,7 @@
     @property
     def is_usable(self) -> bool:
         """Whether it may get new work."""
-        if self.record.is_leaving or self.is_withdrawn:
+        if self.record.is_draining or self.is_withdrawn:
             return False
         return self._stage_news is None or not self._stage_news.is_switching
 
@@ -140,7 +140,7 @@
 
     def on_record(self, record: EndpointRecord) -> None:
         """Take over a newer entry of the same incarnation."""
-        if record.beat > self.record.beat:
+        if record.heartbeat_count > self.record.heartbeat_count:
             # It lives, and still has this address.
             self.is_withdrawn = False
         self.record = record
--- a/libs/routing/gypsumusher_routing/endpoint_table.py
+++ b/libs/routing/gypsumusher_routing/endpoint_table.py
@@ -245,12 +245,12 @@
             self.states[record.endpoint_id] = EndpointState(record, kv_tokens)
             return True
         known = state.record
-        if record.beat < known.beat:
+        if record.heartbeat_count < known.heartbeat_count:
             return False
         # An endpoint that has begun to leave doesn't come back in the same life.
-        record = record._replace(is_leaving=record.is_leaving or known.is_leaving)
+        record = record._replace(is_draining=record.is_draining or known.is_draining)
         state.on_record(record)
-        return record != known._replace(beat=record.beat)
+        return record != known._replace(heartbeat_count=record.heartbeat_count)
 
     def _miss(self, now_s, endpoint_id):
         self._missing_since_s.setdefault(endpoint_id, now_s)
--- a/libs/routing/tests/test_endpoint_changes.py
+++ b/libs/routing/tests/test_endpoint_changes.py
@@ -19,7 +19,10 @@
 
 def told(table):
     """Return what a host is to know of its peer's list: all but the beats."""
-    return {name: record._replace(beat=0) for name, record in listed(table).items()}
+    return {
+        name: record._replace(heartbeat_count=0)
+        for name, record in listed(table).items()
+    }
 
 
 class Hosts(RuleBasedStateMachine):
@@ -61,8 +64,10 @@
     def mark_endpoint_as_leaving(self, endpoint_id):
         if endpoint_id in self.entries:
             record = self.entries[endpoint_id]
-            beat = record.beat + 1
-            self._change(endpoint_id, record._replace(is_leaving=True, beat=beat))
+            beat = record.heartbeat_count + 1
+            self._change(
+                endpoint_id, record._replace(is_draining=True, heartbeat_count=beat)
+            )
 
     @rule(endpoint_id=IDS)
     def remove_endpoint(self, endpoint_id):
@@ -129,7 +134,7 @@
     record = EndpointRecord("e-1", 1, "svc", "10.0.0.1:80", "a", 6, False, 0, None, 1)
     table = EndpointTable()
     table.on_listing(0.0, [record], 5)
-    table.on_record(record._replace(beat=2), 6)
+    table.on_record(record._replace(heartbeat_count=2), 6)
     assert table.changes_beyond(5) == ([], [])
 
 
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -21,7 +21,7 @@
 def test_a_report_is_read_with_its_sizes_and_without_what_it_works_out():
     first, second = decode_sweep("report", REPORT)
     assert first.name == "entry: processor %"
-    assert first.middle == [(10, 2.2), (30, 2.6), (100, 4.4)]
+    assert first.median == [(10, 2.2), (30, 2.6), (100, 4.4)]
     assert first.busiest == [(10, 5.0), (30, 4.8), (100, 7.8)]
     assert second.busiest[-1] == (100, 463.0)
 
--- a/tests/test_platform_adapter.py
+++ b/tests/test_platform_adapter.py
@@ -7,15 +7,15 @@
 from hypothesis import strategies as st
 
 from gypsumusher_platform import (
+    decode_cached_parts,
     decode_configuration,
     decode_endpoint,
-    decode_head,
-    decode_kept_parts,
-    decode_prefill,
+    decode_prefill_result,
     decode_request,
+    decode_response_head,
     decode_settings,
+    encode_endpoint_request,
     encode_refusal,
-    encode_send,
     encode_stage_order,
 )
 from gypsumusher_ports import (
@@ -25,7 +25,7 @@
     EndpointRecord,
     PromptPart,
     Refusal,
-    Send,
+    SendOptions,
     ServiceShare,
     StoredObject,
 )
@@ -90,8 +90,12 @@
 def test_an_entry_is_decoded_once_into_plain_words():
     record = decode_endpoint(stored(ENTRY))
     assert record.incarnation == ("e-1", 1_700_000_000_000)
-    assert (record.warmup_left_s, record.beat, record.is_leaving) == (0.25, 4, False)
-    assert decode_endpoint(stored({**ENTRY, "state": "draining"})).is_leaving
+    assert (record.warmup_left_s, record.heartbeat_count, record.is_draining) == (
+        0.25,
+        4,
+        False,
+    )
+    assert decode_endpoint(stored({**ENTRY, "state": "draining"})).is_draining
 
 
 @pytest.mark.parametrize(
@@ -132,15 +136,15 @@
     except DecodeError:
         return
     assert isinstance(record.address, str) and record.slots >= 1
-    assert isinstance(record.beat, int)
+    assert isinstance(record.heartbeat_count, int)
 
 
 def test_a_configuration_is_decoded_with_its_units():
     configuration = decode_configuration(CONFIGURATION)
     route = configuration.routes[0]
     assert (route.kind, route.host, route.timeout_s) == (STREAM, "shop.example", 4.0)
-    assert (route.objective_s, route.pause_limit_s) == (0.6, 0.3)
-    assert (route.rank, route.max_endpoints, route.is_resumable) == (1, 2, True)
+    assert (route.objective_s, route.max_event_gap_s) == (0.6, 0.3)
+    assert (route.priority, route.max_endpoints, route.is_resumable) == (1, 2, True)
     assert route.shares == (ServiceShare("svc", 1.0),)
     engine = configuration.services["svc"].engine
     assert (engine.link_bits_per_s, engine.role_change_s) == (740e9, 3.0)
@@ -195,10 +199,12 @@
 
 def test_a_request_keeps_what_is_the_caller_s_and_nothing_of_its_connection():
     request = decode_request("POST", "/a/b?c=d", HEADERS, b"body")
-    assert (request.host, request.patience_s) == ("shop.example", 8.0)
+    assert (request.host, request.caller_timeout_s) == ("shop.example", 8.0)
     assert request.generation.parts[0] == PromptPart(0x5C1E07A2, 800)
     assert request.generation.expected_output_tokens == 40
-    data = encode_send(request, Send("e-1", 1.25, urgency=3, kv_source="10.0.0.2:1/h"))
+    data = encode_endpoint_request(
+        request, SendOptions("e-1", 1.25, urgency=3, kv_source="10.0.0.2:1/h")
+    )
     head, _, body = data.decode().partition("\r\n\r\n")
     assert body == "body"
     assert head.startswith("POST /a/b?c=d HTTP/1.1\r\n")
@@ -212,7 +218,9 @@
 
 def test_a_caller_cannot_have_its_request_s_identity_dropped():
     headers = [*HEADERS, ("Connection", "X-Gypsumusher-Request-Id")]
-    data = encode_send(decode_request("GET", "/", headers, b""), Send("e", 1.0))
+    data = encode_endpoint_request(
+        decode_request("GET", "/", headers, b""), SendOptions("e", 1.0)
+    )
     assert b"X-Gypsumusher-Request-Id: r-1" in data
 
 
@@ -226,14 +234,14 @@
         ("X-Gypsumusher-Deadline-Ms", counts),
     ]
     request = decode_request("POST", "/", headers, b"")
-    assert request.patience_s is None or request.patience_s > 0
+    assert request.caller_timeout_s is None or request.caller_timeout_s > 0
     if request.generation is not None:
         assert request.generation.prompt_tokens > 0
         assert all(part.tokens > 0 for part in request.generation.parts)
 
 
 def test_an_answer_s_head_says_what_ran():
-    head = decode_head(
+    head = decode_response_head(
         200,
         [
             ("X-Gypsumusher-Request-Id", "r"),
@@ -242,19 +250,19 @@
             ("Content-Length", "5"),
         ],
     )
-    assert (head.request_id, head.is_sealed, head.is_not_run) == ("r", True, False)
+    assert (head.request_id, head.is_signed, head.is_not_run) == ("r", True, False)
     assert [name for name, _ in head.headers] == [
         "X-Gypsumusher-Request-Id",
         "X-Gypsumusher-Server-Seal",
     ]
-    assert decode_head(503, [("X-Gypsumusher-Not-Run", "1")]).is_not_run
-    assert not decode_head(503, []).is_not_run
-    assert decode_head(421, []).is_not_run
+    assert decode_response_head(503, [("X-Gypsumusher-Not-Run", "1")]).is_not_run
+    assert not decode_response_head(503, []).is_not_run
+    assert decode_response_head(421, []).is_not_run
 
 
 @given(st.binary(max_size=40) | JSON.map(lambda item: json.dumps(item).encode()))
 def test_odd_bodies_of_engines_are_told_as_such(body):
-    for decode in (decode_prefill, decode_kept_parts):
+    for decode in (decode_prefill_result, decode_cached_parts):
         try:
             decode("e-1", body)
         except DecodeError as error:
--- a/tools/capacity.py
+++ b/tools/capacity.py
@@ -20,14 +20,14 @@
 
 def format_slopes(rows, hosts):
     """Return the measured points, slopes and worked values as a Markdown table."""
-    sizes = [size for size, _ in rows[0].middle]
+    sizes = [size for size, _ in rows[0].median]
     header = " | ".join(str(size) for size in sizes)
     lines = [
         f"| quantity | host | {header} | grows | error | at {hosts} | limit |",
         "|---" * (len(sizes) + 6) + "|",
     ]
     for row in rows:
-        for host, points in (("middle", row.middle), ("busiest", row.busiest)):
+        for host, points in (("middle", row.median), ("busiest", row.busiest)):
             lines.append(_format_row(row.name, host, points, hosts))
     return "\n".join(lines)
 
