--- a/docs/examples/embed_coordination.py
+++ b/docs/examples/embed_coordination.py
@@ -6,11 +6,11 @@
 
 from gypsumusher_coordination import (
     ClaimGranted,
-    HomeJournal,
+    ClaimJournal,
     JournalSealer,
     ReadDone,
     ReadObject,
-    Stored,
+    StoredObject,
     WriteConflict,
     WriteDone,
     WriteObject,
@@ -25,7 +25,7 @@
     if effect.if_version != (stored.version if stored else 0):
         return WriteConflict(effect.tag, stored)
     version = effect.if_version + 1
-    objects[effect.kind, effect.name] = Stored(version, effect.value)
+    objects[effect.kind, effect.name] = StoredObject(version, effect.value)
     return WriteDone(effect.tag, version)
 
 
@@ -44,12 +44,12 @@
 def main():
     """Claim one key of two, lose the home, and ask a survivor about both."""
     objects = {}
-    home = HomeJournal(incarnation="home-1", writer="f3a9")
+    home = ClaimJournal(incarnation="home-1", writer="f3a9")
     sent_key, other_key = home.mint("0123456789abcdef"), home.mint("fedcba9876543210")
     effects = run_effects(objects, home, 0.0, home.claim(0.0, sent_key, "booking"))
     assert effects == [ClaimGranted(sent_key)]
     print(f"{sent_key}: granted, may be sent")
-    sealer = JournalSealer("home-1", by_host="host-2")
+    sealer = JournalSealer("home-1", sealing_host="host-2")
     run_effects(objects, sealer, 9.0, sealer.start(9.0))
     for key in (sent_key, other_key):
         print(f"{key}: {sealer.outcome(key)}")
--- a/libs/coordination/gypsumusher_coordination/__init__.py
+++ b/libs/coordination/gypsumusher_coordination/__init__.py
@@ -2,9 +2,9 @@
 
 from gypsumusher_coordination.claims import CallerKeyClaim
 from gypsumusher_coordination.config import (
-    Adopted,
+    ConfigAdopted,
     ConfigReplica,
-    NeedSection,
+    FetchSection,
 )
 from gypsumusher_coordination.config_check import (
     DEPLOYMENT_DEFAULTS,
@@ -28,92 +28,92 @@
     join_sections,
     split_document,
 )
-from gypsumusher_coordination.cutoff import (
-    heard_s,
+from gypsumusher_coordination.config_staleness import (
+    last_contact_s,
     may_serve,
 )
 from gypsumusher_coordination.effects import (
     CallEvent,
     CallFailed,
-    ClaimElsewhere,
     ClaimGranted,
+    ClaimOwnedElsewhere,
     ClaimRefused,
     DeleteObject,
-    JournalSealed,
+    OwnJournalSealed,
+    PeerJournalSealed,
     Probe,
     ReadDone,
     ReadObject,
-    Sealed,
-    Stored,
+    StoredObject,
     WriteConflict,
     WriteDone,
     WriteObject,
 )
-from gypsumusher_coordination.journal import HomeJournal, JournalPolicy
+from gypsumusher_coordination.journal import ClaimJournal, JournalPolicy
 from gypsumusher_coordination.keys import KeyParts, parse_key
 from gypsumusher_coordination.lease import (
-    Authority,
     Lease,
     LeaseGained,
     LeaseLost,
     OpenTerm,
+    TermValidity,
 )
 from gypsumusher_coordination.membership import (
-    LIST_SOURCE,
-    OWN_SOURCE,
+    ENDPOINT_SOURCE,
+    PLATFORM_SOURCE,
     Membership,
     MembershipPolicy,
-    message_bytes,
+    max_message_bytes,
 )
 from gypsumusher_coordination.merge_patch import (
     merge_patch,
 )
 from gypsumusher_coordination.order_effects import (
-    OrderAnswer,
-    OrderFailed,
-    OrderSettled,
+    OrderCallFailed,
+    OrderEnded,
+    OrderReply,
     QueryOrder,
     SendOrder,
-    TermsSettled,
+    TermsClosed,
 )
-from gypsumusher_coordination.orders import OrderBook
+from gypsumusher_coordination.orders import OrderController
 from gypsumusher_coordination.sealing import JournalSealer
 
 __all__ = [
-    "LIST_SOURCE",
-    "OWN_SOURCE",
+    "PLATFORM_SOURCE",
+    "ENDPOINT_SOURCE",
     "CallerKeyClaim",
-    "HomeJournal",
+    "ClaimJournal",
     "JournalPolicy",
     "JournalSealer",
     "KeyParts",
     "Membership",
     "MembershipPolicy",
     "Probe",
-    "message_bytes",
+    "max_message_bytes",
     "parse_key",
     "DEPLOYMENT_DEFAULTS",
     "HOSTS_DEFAULTS",
     "SERVICE_DEFAULTS",
-    "Adopted",
-    "Authority",
+    "ConfigAdopted",
+    "TermValidity",
     "CallEvent",
     "CallFailed",
-    "ClaimElsewhere",
+    "ClaimOwnedElsewhere",
     "ClaimGranted",
     "ClaimRefused",
     "ConfigReplica",
     "DeleteObject",
-    "JournalSealed",
+    "OwnJournalSealed",
     "Lease",
     "LeaseGained",
     "LeaseLost",
-    "NeedSection",
+    "FetchSection",
     "OpenTerm",
-    "OrderAnswer",
-    "OrderBook",
-    "OrderFailed",
-    "OrderSettled",
+    "OrderReply",
+    "OrderController",
+    "OrderCallFailed",
+    "OrderEnded",
     "PatchAccepted",
     "PatchAttempt",
     "PatchInvalid",
@@ -124,10 +124,10 @@
     "QueryOrder",
     "ReadDone",
     "ReadObject",
-    "Sealed",
+    "PeerJournalSealed",
     "SendOrder",
-    "Stored",
-    "TermsSettled",
+    "StoredObject",
+    "TermsClosed",
     "WriteConflict",
     "WriteDone",
     "WriteObject",
@@ -135,7 +135,7 @@
     "check_document",
     "content_hash",
     "fill_defaults",
-    "heard_s",
+    "last_contact_s",
     "join_sections",
     "may_serve",
     "merge_patch",
--- a/libs/coordination/gypsumusher_coordination/claims.py
+++ b/libs/coordination/gypsumusher_coordination/claims.py
@@ -13,8 +13,8 @@
 
 from gypsumusher_coordination.effects import (
     CallFailed,
-    ClaimElsewhere,
     ClaimGranted,
+    ClaimOwnedElsewhere,
     ClaimRefused,
     ReadDone,
     ReadObject,
@@ -31,7 +31,7 @@
 # The caller waits meanwhile, so the retry is quick and the whole wait short: the
 # caller then hears that the outcome is unknown, and when to come back with its key.
 RETRY_S = 0.1
-CLAIM_WAIT_S = 2.0
+CLAIM_TIMEOUT_S = 2.0
 
 
 class CallerKeyClaim:
@@ -47,16 +47,16 @@
         Digest of the request's content.
     nonce : str
         Random id of this attempt, by which it recognises its own write.
-    wait_s : float, optional
+    timeout_s : float, optional
         The attempt is refused when it isn't settled after this time.
     """
 
-    def __init__(self, key, incarnation, fingerprint, nonce, wait_s=CLAIM_WAIT_S):
+    def __init__(self, key, incarnation, fingerprint, nonce, timeout_s=CLAIM_TIMEOUT_S):
         self.key = key
         self._incarnation = incarnation
         self._fingerprint = fingerprint
         self._nonce = nonce
-        self._wait_s = wait_s
+        self._wait_s = timeout_s
         self._deadline_s = None
         self._retry_at_s = None
         self._is_unsettled = False
@@ -80,7 +80,7 @@
         Returns
         -------
         list
-            Effects; `ClaimGranted`, `ClaimElsewhere` or `ClaimRefused` at the end.
+            Effects; `ClaimGranted`, `ClaimOwnedElsewhere` or `ClaimRefused` at the end.
         """
         if self._deadline_s is not None:
             return []
@@ -159,10 +159,10 @@
         if value["nonce"] == self._nonce:
             return ClaimGranted(self.key)
         if WITHDRAWN in (self._incarnation, value["home"]):
-            return ClaimElsewhere(self.key, value["home"])
+            return ClaimOwnedElsewhere(self.key, value["home"])
         if value["fingerprint"] != self._fingerprint:
             return ClaimRefused(self.key, "key_reused", "no")
-        return ClaimElsewhere(self.key, value["home"])
+        return ClaimOwnedElsewhere(self.key, value["home"])
 
     def _create(self):
         value = {
--- a/libs/coordination/gypsumusher_coordination/config.py
+++ b/libs/coordination/gypsumusher_coordination/config.py
@@ -23,9 +23,9 @@
 from gypsumusher_coordination.merge_patch import merge_patch
 
 __all__ = [
-    "Adopted",
+    "ConfigAdopted",
     "ConfigReplica",
-    "NeedSection",
+    "FetchSection",
     "PatchAccepted",
     "PatchAttempt",
     "PatchInvalid",
@@ -42,13 +42,13 @@
 SECTION_RETRY_S = 0.5
 
 
-class NeedSection(NamedTuple):
+class FetchSection(NamedTuple):
     """Effect: fetch the section of this hash from the platform or from a peer."""
 
     hash: str
 
 
-class Adopted(NamedTuple):
+class ConfigAdopted(NamedTuple):
     """Effect: this configuration is now in force on this host.
 
     Parameters
@@ -90,7 +90,7 @@
         """The known sections by hash, to answer peers and to build patches on."""
         return self._sections
 
-    def offer(self, now_s: float, head: Any) -> list[NeedSection | Adopted]:
+    def on_head(self, now_s: float, head: Any) -> list[FetchSection | ConfigAdopted]:
         """Take a head from the platform or a peer.
 
         Failure guarded against: a late answer, a slow peer or a platform that
@@ -108,7 +108,7 @@
 
     def on_section(
         self, now_s: float, section_hash: str, value: Any
-    ) -> list[NeedSection | Adopted]:
+    ) -> list[FetchSection | ConfigAdopted]:
         """Take a section that was fetched.
 
         A section under a hash that isn't its own (a mixed-up answer, a damaged
@@ -123,7 +123,7 @@
             return []
         return self._advance(now_s)
 
-    def tick(self, now_s: float) -> list[NeedSection | Adopted]:
+    def tick(self, now_s: float) -> list[FetchSection | ConfigAdopted]:
         """Ask again for sections that did not come."""
         if self._pending is None or now_s < self._asked_s + SECTION_RETRY_S:
             return []
@@ -135,14 +135,14 @@
         needed = sorted(set(self._pending["sections"].values()))
         return [name for name in needed if name not in self._sections]
 
-    def _advance(self, now_s: float) -> list[NeedSection | Adopted]:
+    def _advance(self, now_s: float) -> list[FetchSection | ConfigAdopted]:
         missing = self._missing()
         if missing:
             self._asked_s = now_s
-            return [NeedSection(section_hash) for section_hash in missing]
+            return [FetchSection(section_hash) for section_hash in missing]
         return [self._adopt()]
 
-    def _adopt(self) -> Adopted:
+    def _adopt(self) -> ConfigAdopted:
         self.head = self._pending
         self._pending = None
         named = self.head["sections"]
@@ -154,4 +154,4 @@
         }
         sections = {section: self._sections[named[section]] for section in named}
         self.document = fill_defaults(join_sections(sections))
-        return Adopted(self.head["number"], self.document)
+        return ConfigAdopted(self.head["number"], self.document)
--- a/libs/coordination/gypsumusher_coordination/config_patch.py
+++ b/libs/coordination/gypsumusher_coordination/config_patch.py
@@ -16,7 +16,7 @@
     CallFailed,
     ReadDone,
     ReadObject,
-    Stored,
+    StoredObject,
     WriteConflict,
     WriteDone,
     WriteObject,
@@ -32,7 +32,7 @@
 LONGEST_ID = 64
 # An operator waits for the answer; five seconds outlast a lost answer and a short
 # stall of the platform, and end long before the operator would.
-ATTEMPT_LIMIT_S = 5.0
+ATTEMPT_TIMEOUT_S = 5.0
 RETRY_S = 0.25
 
 
@@ -127,13 +127,13 @@
         self._retry: list[ReadObject | WriteObject] = []
         self._retry_s = float("inf")
         self._maybe_written = False
-        self._head: Stored | None = None
+        self._head: StoredObject | None = None
         self._unwritten: list[str] = []
         self._new_head: dict = {}
 
     def start(self, now_s: float) -> list[PatchEffect]:
         """Begin; returns the first effects."""
-        self._deadline_s = now_s + ATTEMPT_LIMIT_S
+        self._deadline_s = now_s + ATTEMPT_TIMEOUT_S
         problems = self._check_arguments()
         if problems:
             return self._finish(PatchInvalid(problems))
@@ -183,7 +183,7 @@
                 problems.append(Problem(path, "is not such a text", mend))
         return problems
 
-    def _on_head(self, stored: Stored | None) -> list[PatchEffect]:
+    def _on_head(self, stored: StoredObject | None) -> list[PatchEffect]:
         """Decide by the head as it stands, after a read or a lost race."""
         if stored is not None and not is_valid_head(stored.value):
             mend = "mend the object config/head on the platform"
@@ -191,7 +191,7 @@
                 PatchInvalid([Problem("config/head", "is not a head", mend)])
             )
         head = _empty_head() if stored is None else stored.value
-        self._head = Stored(0, head) if stored is None else stored
+        self._head = StoredObject(0, head) if stored is None else stored
         own = _find_patch(head, self.patch_id)
         if own is not None:
             return self._judge_own(own)
--- a/libs/coordination/gypsumusher_coordination/cutoff.py
+++ b/libs/coordination/gypsumusher_coordination/config_staleness.py
@@ -6,10 +6,10 @@
 SERVE = "serve"
 
 
-def heard_s(
+def last_contact_s(
     now_s: float,
-    platform_heard_s: float,
-    peers_heard_s: Mapping[str, float],
+    platform_contact_s: float,
+    peer_contacts_s: Mapping[str, float],
     host: str,
     hosts: Collection[str],
 ) -> float:
@@ -39,16 +39,16 @@
         if name == host:
             heard.append(now_s)
             continue
-        heard.append(peers_heard_s.get(name, float("-inf")))
+        heard.append(peer_contacts_s.get(name, float("-inf")))
     if host not in hosts:
         heard.append(now_s)
     heard.sort(reverse=True)
     majority = len(heard) // 2 + 1
-    return max(platform_heard_s, heard[majority - 1])
+    return max(platform_contact_s, heard[majority - 1])
 
 
 def may_serve(
-    now_s: float, last_heard_s: float, stale_config: str, limit_s: float
+    now_s: float, contact_s: float, stale_config: str, limit_s: float
 ) -> bool:
     """Return whether the host may go on by the configuration it has.
 
@@ -74,7 +74,7 @@
     Parameters
     ----------
     now_s, last_heard_s : float
-        This host's clock now, and what `heard_s` gave.
+        This host's clock now, and what `last_contact_s` gave.
     stale_config : str
         The setting ``hosts.stale_config``, ``stop`` or ``serve``.
     limit_s : float
@@ -87,4 +87,4 @@
     """
     if stale_config == SERVE:
         return True
-    return now_s - last_heard_s <= limit_s
+    return now_s - contact_s <= limit_s
--- a/libs/coordination/gypsumusher_coordination/effects.py
+++ b/libs/coordination/gypsumusher_coordination/effects.py
@@ -3,7 +3,7 @@
 from typing import Any, NamedTuple
 
 
-class Stored(NamedTuple):
+class StoredObject(NamedTuple):
     """One object as it stands on the platform.
 
     Parameters
@@ -82,12 +82,12 @@
     ----------
     tag : str
         The call's tag.
-    stored : Stored or None
+    stored : StoredObject or None
         The object, or None when there is none.
     """
 
     tag: str
-    stored: Stored | None
+    stored: StoredObject | None
 
 
 class WriteDone(NamedTuple):
@@ -112,12 +112,12 @@
     ----------
     tag : str
         The call's tag.
-    stored : Stored or None
+    stored : StoredObject or None
         What stands now, or None when there is no object.
     """
 
     tag: str
-    stored: Stored | None
+    stored: StoredObject | None
 
 
 class CallFailed(NamedTuple):
@@ -167,26 +167,26 @@
     run: str
 
 
-class ClaimElsewhere(NamedTuple):
+class ClaimOwnedElsewhere(NamedTuple):
     """Effect: another home holds the key; forward the request to it.
 
     Parameters
     ----------
     key : str
         The idempotency key.
-    home : str
+    owner : str
         The incarnation that holds the key.
     """
 
     key: str
-    home: str
+    owner: str
 
 
-class JournalSealed(NamedTuple):
+class OwnJournalSealed(NamedTuple):
     """Effect: the home's own journal is sealed and takes no further key."""
 
 
-class Sealed(NamedTuple):
+class PeerJournalSealed(NamedTuple):
     """Effect: another home's journal is sealed, so its record is final.
 
     Parameters
--- a/libs/coordination/gypsumusher_coordination/expiry.py
+++ b/libs/coordination/gypsumusher_coordination/expiry.py
@@ -14,7 +14,7 @@
 from gypsumusher_coordination.effects import (
     CallFailed,
     DeleteObject,
-    Stored,
+    StoredObject,
     WriteConflict,
     WriteDone,
     WriteObject,
@@ -55,7 +55,7 @@
         self._is_sealed_out = False
 
     @property
-    def is_sealed_out(self):
+    def is_fenced(self):
         """Whether a survivor has sealed the journal."""
         return self._is_sealed_out
 
@@ -68,7 +68,7 @@
             Reading of this host's clock, in seconds.
         segment : int
             The segment's number; they come in order, from zero.
-        stored : Stored
+        stored : StoredObject
             The segment as it stands on the platform.
         """
         if segment == 0:
@@ -129,7 +129,7 @@
             return
         self._next_round_s = now_s + self._retention_s / _ROUNDS_PER_RETENTION
         if isinstance(event, WriteDone):
-            self._on_header(Stored(event.version, value))
+            self._on_header(StoredObject(event.version, value))
             return
         if event.stored is None or event.stored.value["sealed"] is not None:
             self._is_sealed_out = True
--- a/libs/coordination/gypsumusher_coordination/journal.py
+++ b/libs/coordination/gypsumusher_coordination/journal.py
@@ -30,22 +30,22 @@
     CallFailed,
     ClaimGranted,
     ClaimRefused,
-    JournalSealed,
+    OwnJournalSealed,
     ReadDone,
     ReadObject,
-    Stored,
+    StoredObject,
     WriteConflict,
     WriteDone,
     WriteObject,
 )
 from gypsumusher_coordination.expiry import SegmentExpiry
+from gypsumusher_coordination.key_table import KeyRecord, KeyState, KeyTable
 from gypsumusher_coordination.keys import (
     KeyParts,
     format_key,
     parse_key,
     segment_name,
 )
-from gypsumusher_coordination.remembered import KeyMemory, KeyRecord, KeyState
 
 JOURNAL_KIND = "journals"
 SEALED_BY_HOME = "home"
@@ -63,38 +63,38 @@
         Calls a second that the journal may start at most. The platform takes several
         hundred writes a second from all hosts: 16 homes at 10 leave room for leases
         and configuration. Keys that gather meanwhile share the next write.
-    claim_wait_s : float
+    claim_timeout_s : float
         A claim that isn't on the platform after this time is refused. Shorter than a
         caller's patience, so that it hears a true "not run" and may go elsewhere.
     retention_s : float
         How long a finished key is remembered, and how long a segment stands after the
         home has left it. Later repeats hear "unknown".
-    segment_bytes : int
+    segment_max_bytes : int
         Size at which a segment is left for the next. Each write carries the whole
         segment, so a large one multiplies the bytes of every write by its fill, and a
         small one gives a survivor more segments to seal. 16 KiB holds about 150 keys.
-    segment_s : float
+    segment_max_age_s : float
         Age at which a segment is left for the next. A host with few keys would fill a
         segment over minutes and send it again with each key. Ten seconds keep one
         key a second under a node's 2 KB/s; a survivor then finds about 70 segments.
-    remembered_keys : int
+    max_keys : int
         Keys kept in memory, about 330 bytes each as measured.
-    waiting_keys : int
+    max_waiting_claims : int
         Claims that may wait for the platform at one time; further ones are refused.
-    backoff_first_s, backoff_limit_s : float
+    backoff_initial_s, backoff_max_s : float
         Wait after the first failed call, doubled up to the limit. The limit keeps a
         fleet from beating on a platform that is coming back.
     """
 
     writes_per_s: float = 10.0
-    claim_wait_s: float = 2.0
+    claim_timeout_s: float = 2.0
     retention_s: float = 600.0
-    segment_bytes: int = 16 * 1024
-    segment_s: float = 10.0
-    remembered_keys: int = 50_000
-    waiting_keys: int = 2_000
-    backoff_first_s: float = 0.1
-    backoff_limit_s: float = 5.0
+    segment_max_bytes: int = 16 * 1024
+    segment_max_age_s: float = 10.0
+    max_keys: int = 50_000
+    max_waiting_claims: int = 2_000
+    backoff_initial_s: float = 0.1
+    backoff_max_s: float = 5.0
 
 
 DEFAULT_POLICY = JournalPolicy()
@@ -107,7 +107,7 @@
     value: dict[str, Any] | None
 
 
-class HomeJournal:
+class ClaimJournal:
     """The keys of one incarnation of one host, and their journal on the platform.
 
     Parameters
@@ -130,7 +130,7 @@
         self.incarnation = incarnation
         self._writer = writer
         self._policy = policy
-        self._memory = KeyMemory(policy.remembered_keys, policy.retention_s)
+        self._memory = KeyTable(policy.max_keys, policy.retention_s)
         self._waiting = {}
         self._running = 0
         self._minted = 0
@@ -156,7 +156,7 @@
         self._spread = 0.5 + digest[0] / 512
 
     @property
-    def is_sealed_out(self):
+    def is_fenced(self):
         """Whether a survivor has sealed this journal: no key is granted any more."""
         return self._is_sealed_out
 
@@ -166,7 +166,7 @@
         return self._failures == 0
 
     @property
-    def remembered(self):
+    def key_count(self):
         """How many keys are held in memory."""
         return len(self._memory)
 
@@ -238,7 +238,7 @@
         record = self._memory.find(key)
         if record is not None:
             return [_refuse_repeat(key, fingerprint, record)]
-        if self._memory.is_forgotten(parts.count):
+        if self._memory.is_expired(parts.count):
             # The home has forgotten what became of keys this old, so it must not run
             # them again, and can't deny that it did.
             return [ClaimRefused(key, "key_unknown_outcome", "unknown")]
@@ -304,7 +304,7 @@
         parts = self._parts_of(key)
         record = self._memory.find(key)
         if record is None:
-            is_forgotten = self._memory.is_forgotten(parts.count)
+            is_forgotten = self._memory.is_expired(parts.count)
             if is_forgotten or parts.count >= self._minted:
                 return "unknown"
             self._remember(now_s, key, parts, None, KeyState.WITHDRAWN)
@@ -326,11 +326,11 @@
         Returns
         -------
         list
-            Effects; `JournalSealed` follows, now or later.
+            Effects; `OwnJournalSealed` follows, now or later.
         """
         if self._is_sealed_out and not self._is_stopping:
             self._is_stopping = True
-            return [JournalSealed()]
+            return [OwnJournalSealed()]
         self._is_stopping = True
         return self._advance(now_s)
 
@@ -353,7 +353,7 @@
                 # Claims wait in the order in which they came.
                 break
             effects.append(self._withdraw(key))
-        self._memory.forget_old(now_s, self._minted)
+        self._memory.expire(now_s, self._minted)
         effects.extend(self._advance(now_s))
         if not self._is_sealed and not self._is_sealed_out:
             effects.extend(self._expiry.tick(now_s))
@@ -376,7 +376,7 @@
         """
         self._expiry.handle(now_s, event)
         is_closed = self._is_sealed or self._is_sealed_out
-        if self._expiry.is_sealed_out and not is_closed:
+        if self._expiry.is_fenced and not is_closed:
             return self._shut_out()
         call = self._call
         if call is None or event.tag != call.tag:
@@ -386,7 +386,7 @@
             return self._on_failed(now_s, call, event.sent)
         self._failures = 0
         if isinstance(event, WriteDone):
-            effects = self._on_stored(Stored(event.version, call.value))
+            effects = self._on_stored(StoredObject(event.version, call.value))
         elif isinstance(event, (ReadDone, WriteConflict)):
             effects = self._settle(event.stored)
         else:
@@ -405,12 +405,12 @@
             return "stopping"
         if self._is_sealed_out:
             return "journal_unavailable"
-        if len(self._waiting) >= self._policy.waiting_keys:
+        if len(self._waiting) >= self._policy.max_waiting_claims:
             return "overloaded"
         return None
 
     def _remember(self, now_s, key, parts, fingerprint, state):
-        deadline_s = now_s + self._policy.claim_wait_s
+        deadline_s = now_s + self._policy.claim_timeout_s
         self._memory.add(key, KeyRecord(parts.count, fingerprint, state, deadline_s))
 
     def _grant(self, key):
@@ -442,8 +442,8 @@
         return []
 
     def _write_waiting(self, now_s):
-        is_full = self._journaled_bytes >= self._policy.segment_bytes
-        is_old = now_s - self._segment_opened_s >= self._policy.segment_s
+        is_full = self._journaled_bytes >= self._policy.segment_max_bytes
+        is_old = now_s - self._segment_opened_s >= self._policy.segment_max_age_s
         if self._journaled and (is_full or is_old):
             self._open_next_segment(now_s)
         if not self._journaled:
@@ -451,7 +451,7 @@
         keys = dict(self._journaled)
         size_bytes = self._journaled_bytes
         for key in self._waiting:
-            if size_bytes >= self._policy.segment_bytes:
+            if size_bytes >= self._policy.segment_max_bytes:
                 break
             fingerprint = self._memory.find(key).fingerprint
             keys[key] = fingerprint
@@ -462,7 +462,7 @@
         # The present segment is known to stand on the platform, else no key of it
         # would be noted as journaled: the chain has no gap in which a survivor could
         # take a missing segment for the end while the home is already past it.
-        stored = Stored(self._version, self._segment_value(self._journaled, None))
+        stored = StoredObject(self._version, self._segment_value(self._journaled, None))
         self._expiry.on_closed(now_s, self._segment, stored)
         self._segment += 1
         self._version = 0
@@ -505,8 +505,8 @@
             self._is_unsettled = True
         self._failures += 1
         wait_s = min(
-            self._policy.backoff_limit_s,
-            self._policy.backoff_first_s * 2.0 ** min(self._failures - 1, 16),
+            self._policy.backoff_max_s,
+            self._policy.backoff_initial_s * 2.0 ** min(self._failures - 1, 16),
         )
         self._not_before_s = max(self._not_before_s, now_s + wait_s * self._spread)
         effects = []
@@ -550,7 +550,7 @@
         self._journaled_bytes = _keys_bytes(value["keys"])
         if value["sealed"] is not None:
             self._is_sealed = True
-            return [JournalSealed()]
+            return [OwnJournalSealed()]
         effects = []
         for key in list(self._waiting):
             if key not in value["keys"]:
@@ -564,7 +564,7 @@
         self._is_sealed_out = True
         effects = [self._withdraw(key) for key in list(self._waiting)]
         if self._is_stopping:
-            effects.append(JournalSealed())
+            effects.append(OwnJournalSealed())
         return effects
 
 
--- a/libs/coordination/gypsumusher_coordination/remembered.py
+++ b/libs/coordination/gypsumusher_coordination/key_table.py
@@ -45,7 +45,7 @@
         self.deadline_s = deadline_s
 
 
-class KeyMemory:
+class KeyTable:
     """The keys that were claimed or asked for at this home.
 
     Parameters
@@ -88,7 +88,7 @@
         """
         return self._records.get(key)
 
-    def is_forgotten(self, count):
+    def is_expired(self, count):
         """Return whether keys with this mint count are forgotten.
 
         Parameters
@@ -137,7 +137,7 @@
         if record.count < self._floor:
             del self._records[key]
 
-    def forget_old(self, now_s, minted):
+    def expire(self, now_s, minted):
         """Forget what was minted longer than the retention ago.
 
         Parameters
--- a/libs/coordination/gypsumusher_coordination/lease.py
+++ b/libs/coordination/gypsumusher_coordination/lease.py
@@ -7,7 +7,7 @@
     CallEvent,
     CallFailed,
     ReadObject,
-    Stored,
+    StoredObject,
     WriteDone,
     WriteObject,
 )
@@ -37,7 +37,7 @@
     incarnation: str
 
 
-class Authority(NamedTuple):
+class TermValidity(NamedTuple):
     """Until when, by this host's clock, its term holds; the past when it does not."""
 
     incarnation: str
@@ -57,7 +57,7 @@
     """
 
     term: int
-    previous: tuple[OpenTerm, ...]
+    open_terms: tuple[OpenTerm, ...]
 
 
 class LeaseLost(NamedTuple):
@@ -113,12 +113,12 @@
         self.nonce_source = nonce_source
         self.term = 0
         self.valid_until_s = float("-inf")
-        self.released = False
+        self.is_released = False
         self._held = False
         self._releasing = False
         self._open_terms: tuple[OpenTerm, ...] = ()
         # What stands on the platform, as far as known, and since when unchanged.
-        self._stored: Stored | None = None
+        self._stored: StoredObject | None = None
         self._seen_s = float("-inf")
         # When each own write was sent whose outcome is open, by nonce.
         self._sent_s: dict[str, float] = {}
@@ -128,20 +128,20 @@
         self._calls = 0
         self._next_s = float("-inf")
 
-    def held(self, now_s: float) -> bool:
+    def is_held(self, now_s: float) -> bool:
         """Return whether this host holds the lease at this very moment."""
         return self._held and now_s < self.valid_until_s
 
-    def authority(self) -> Authority:
+    def term_validity(self) -> TermValidity:
         """Return the term and until when it may be acted on."""
         valid_until_s = self.valid_until_s if self._held else float("-inf")
-        return Authority(self.incarnation, self.term, valid_until_s)
+        return TermValidity(self.incarnation, self.term, valid_until_s)
 
     def open_terms(self) -> tuple[OpenTerm, ...]:
         """Return the former terms that may still have orders on the way."""
         return self._open_terms
 
-    def settle_terms(self, terms: tuple[int, ...]) -> None:
+    def close_terms(self, terms: tuple[int, ...]) -> None:
         """Drop open terms whose orders can come no more; the next renewal says so."""
         self._open_terms = tuple(
             term for term in self._open_terms if term.term not in terms
@@ -150,7 +150,7 @@
     def tick(self, now_s: float) -> list[LeaseEffect]:
         """Renew, observe, take over or lapse, whichever is due."""
         effects = self._lapse(now_s)
-        if self._tag is not None or self.released or now_s < self._next_s:
+        if self._tag is not None or self.is_released or now_s < self._next_s:
             return effects
         if self._held or (self._releasing and self._stands()):
             return effects + self._write_own(now_s)
@@ -167,15 +167,15 @@
         if isinstance(event, CallFailed):
             return effects + self._on_failed(now_s, event.sent)
         if isinstance(event, WriteDone):
-            stored = Stored(event.version, self._written)
+            stored = StoredObject(event.version, self._written)
             return effects + self._on_stored(now_s, stored)
         return effects + self._on_stored(now_s, event.stored)
 
-    def known(self) -> Stored | None:
+    def last_stored(self) -> StoredObject | None:
         """Return what is known to stand on the platform, for other hosts."""
         return self._stored
 
-    def observe(self, now_s: float, stored: Stored) -> None:
+    def on_stored_received(self, now_s: float, stored: StoredObject) -> None:
         """Take in what another host knows to stand; an older version changes nothing.
 
         A host that hears of each version can take over as soon as the last one has
@@ -198,7 +198,7 @@
         write follows; `released` turns true when it stands.
         """
         if not self._held and not self._sent_s:
-            self.released = True
+            self.is_released = True
             return []
         self._releasing = True
         self._next_s = now_s
@@ -257,7 +257,9 @@
         # ends when the last renewal that is known to stand runs out.
         return [self._read(now_s)]
 
-    def _on_stored(self, now_s: float, stored: Stored | None) -> list[LeaseEffect]:
+    def _on_stored(
+        self, now_s: float, stored: StoredObject | None
+    ) -> list[LeaseEffect]:
         """Take what stands on the platform, from whichever answer."""
         version = 0 if stored is None else stored.version
         known = 0 if self._stored is None else self._stored.version
@@ -276,14 +278,14 @@
         self._next_s = min(self._next_s, max(now_s, self._lapses_s()))
         if self._releasing:
             self._releasing = False
-            self.released = True
+            self.is_released = True
         return self._end_term() if self._held else []
 
     def _on_own(self, now_s: float, value: dict, sent_s: float) -> list[LeaseEffect]:
         """Take a write of ours that stands."""
         if value["released"]:
             self._releasing = False
-            self.released = True
+            self.is_released = True
             return []
         if self._releasing:
             self.term = max(self.term, value["term"])
--- a/libs/coordination/gypsumusher_coordination/membership.py
+++ b/libs/coordination/gypsumusher_coordination/membership.py
@@ -17,9 +17,9 @@
 
 from gypsumusher_coordination.effects import Probe
 
-LIST_SOURCE = "list"
-OWN_SOURCE = "own"
-_SOURCES = (LIST_SOURCE, OWN_SOURCE)
+PLATFORM_SOURCE = "list"
+ENDPOINT_SOURCE = "own"
+_SOURCES = (PLATFORM_SOURCE, ENDPOINT_SOURCE)
 
 LIVE = "live"
 SUSPECT = "suspect"
@@ -44,42 +44,42 @@
         in 2 s, well inside a node's 2 KB/s for control.
     probe_timeout_s : float
         A probe without an answer counts as failed after this time.
-    suspect_after : int
+    suspect_after_failures : int
         Failed probes in a row that make a host suspect. Two, as one is lost in every
         short pause, and each suspicion moves load that then has to move back.
-    news_interval_s : float
+    update_interval_s : float
         A host with unacknowledged news is probed this soon, so that a leaving endpoint
         is known in the whole cell in well under a second.
-    settle_s : float
+    source_lag_s : float
         How long a source may contradict what peers say before it is believed against
         them. Longer than the lag of the platform's list, so that a stale list doesn't
         bring a leaving endpoint back.
-    facts_per_message : int
+    updates_per_message : int
         News in one probe at most; the rest follows in the next.
-    facts_limit : int
+    max_endpoint_states : int
         Facts kept at most; facts on further endpoints are not taken.
     """
 
     probe_interval_s: float = 2.0
     probe_timeout_s: float = 1.0
-    suspect_after: int = 2
-    news_interval_s: float = 0.25
-    settle_s: float = 60.0
-    facts_per_message: int = 16
-    facts_limit: int = 4096
+    suspect_after_failures: int = 2
+    update_interval_s: float = 0.25
+    source_lag_s: float = 60.0
+    updates_per_message: int = 16
+    max_endpoint_states: int = 4096
 
 
 DEFAULT_POLICY = MembershipPolicy()
 
 
-class Fact(NamedTuple):
+class EndpointState(NamedTuple):
     """What one source says of an endpoint; the higher counter is the newer one."""
 
     counter: int
     is_leaving: bool
 
 
-_NO_FACT = Fact(0, False)
+_NO_FACT = EndpointState(0, False)
 
 
 class _Peer:
@@ -144,7 +144,7 @@
         """Tell the cell from now on that this host is leaving."""
         self._is_leaving = True
 
-    def state(self, host):
+    def host_state(self, host):
         """Return "live", "suspect" or "leaving".
 
         Parameters
@@ -164,7 +164,7 @@
             return SUSPECT
         if peer.is_leaving:
             return LEAVING
-        return SUSPECT if peer.failures >= self._policy.suspect_after else LIVE
+        return SUSPECT if peer.failures >= self._policy.suspect_after_failures else LIVE
 
     def is_endpoint_leaving(self, endpoint):
         """Return whether an endpoint takes no new work.
@@ -184,7 +184,7 @@
             for source in _SOURCES
         )
 
-    def observe(self, now_s, endpoint, source, is_leaving):
+    def on_source_report(self, now_s, endpoint, source, is_leaving):
         """Take what a source says of an endpoint now.
 
         Parameters
@@ -194,8 +194,9 @@
         endpoint : str
             The endpoint's name.
         source : str
-            `LIST_SOURCE` for a fresh reading of the platform's list, `OWN_SOURCE` for
-            the endpoint's own word: a load report or a refusal as draining.
+            `PLATFORM_SOURCE` for a fresh read of the platform's endpoint list,
+            `ENDPOINT_SOURCE` for the endpoint's own load report or its refusal as
+            draining.
         is_leaving : bool
             What the source says.
 
@@ -219,14 +220,14 @@
         if contradicts_since_s is None:
             contradicts_since_s = now_s
         is_change = is_leaving != said_before
-        is_settled = now_s - contradicts_since_s >= self._policy.settle_s
+        is_settled = now_s - contradicts_since_s >= self._policy.source_lag_s
         if not is_change and not is_settled:
             self._observations[name] = (is_leaving, contradicts_since_s)
             return
         self._observations[name] = (is_leaving, None)
-        self._store(name, Fact(fact.counter + 1, is_leaving), None)
+        self._store(name, EndpointState(fact.counter + 1, is_leaving), None)
 
-    def forget_endpoints(self, endpoints):
+    def remove_endpoints(self, endpoints):
         """Drop the facts on endpoints that are gone for good.
 
         Parameters
@@ -265,10 +266,10 @@
                 self.on_probe_failed(now_s, host)
             is_answering = peer.failures == 0
             has_news = bool(peer.news) and is_answering
-            wait_s = policy.news_interval_s if has_news else policy.probe_interval_s
+            wait_s = policy.update_interval_s if has_news else policy.probe_interval_s
             if age_s < wait_s:
                 continue
-            names = list(peer.news)[: policy.facts_per_message]
+            names = list(peer.news)[: policy.updates_per_message]
             peer.probe_facts = {name: self._facts[name] for name in names}
             peer.last_probe_s = now_s
             probes.append(Probe(host, self._message(peer.probe_facts)))
@@ -284,7 +285,7 @@
         host : str
             Who answered.
         message : dict
-            The answer, as `on_gossip` of that host returned it.
+            The answer, as `on_probe` of that host returned it.
 
         Raises
         ------
@@ -318,7 +319,7 @@
         peer.probe_facts = None
         peer.failures += 1
 
-    def on_gossip(self, now_s, host, message):
+    def on_probe(self, now_s, host, message):
         """Take a host's probe.
 
         Parameters
@@ -345,7 +346,7 @@
         self._hear(host, message)
         for endpoint, source, counter, is_leaving in message["facts"]:
             name = (endpoint, _SOURCES[source])
-            heard = Fact(counter, bool(is_leaving))
+            heard = EndpointState(counter, bool(is_leaving))
             known = self._facts.get(name, _NO_FACT)
             # On equal counters leaving wins: two hosts may count up at once, and work
             # sent to a leaving endpoint costs more than work kept from a live one.
@@ -362,7 +363,10 @@
             peer.is_leaving = True
 
     def _store(self, name, fact, told_by):
-        if name not in self._facts and len(self._facts) >= self._policy.facts_limit:
+        if (
+            name not in self._facts
+            and len(self._facts) >= self._policy.max_endpoint_states
+        ):
             return
         self._facts[name] = fact
         for host, peer in self._peers.items():
@@ -426,13 +430,13 @@
         raise ValueError("message: a fact's counter is out of range")
 
 
-def message_bytes(message):
+def max_message_bytes(message):
     """Return an upper bound of a probe's or answer's size as msgpack.
 
     Parameters
     ----------
     message : dict
-        A message of `Probe` or `Membership.on_gossip`.
+        A message of `Probe` or `Membership.on_probe`.
 
     Returns
     -------
--- a/libs/coordination/gypsumusher_coordination/merge_patch.py
+++ b/libs/coordination/gypsumusher_coordination/merge_patch.py
@@ -4,7 +4,7 @@
 
 # A document is five levels deep; the limit keeps a hostile patch from exhausting
 # the stack, far above anything that could pass the document's check.
-DEEPEST_LEVEL = 32
+MAX_DEPTH = 32
 
 
 def merge_patch(document: Any, patch: Any, level: int = 0) -> Any:
@@ -28,8 +28,8 @@
     ----------
     RFC 7396, JSON Merge Patch.
     """
-    if level > DEEPEST_LEVEL:
-        raise ValueError(f"the patch nests deeper than {DEEPEST_LEVEL} levels")
+    if level > MAX_DEPTH:
+        raise ValueError(f"the patch nests deeper than {MAX_DEPTH} levels")
     if not isinstance(patch, dict):
         return patch
     merged = dict(document) if isinstance(document, dict) else {}
--- a/libs/coordination/gypsumusher_coordination/order_effects.py
+++ b/libs/coordination/gypsumusher_coordination/order_effects.py
@@ -15,14 +15,14 @@
 BUSY = "busy"
 STALE_TERM = "stale_term"
 REFUSALS = frozenset({BUSY, STALE_TERM})
-FORGOTTEN = "the engine does not know the order"
+ORDER_UNKNOWN_DETAIL = "the engine does not know the order"
 
 
 class SendOrder(NamedTuple):
     """Effect: post one order on a connection opened for it alone.
 
     Open the connection, then read the clock, and write only if it is still before
-    `not_after_s`; otherwise close the connection and answer `OrderFailed` with
+    `not_after_s`; otherwise close the connection and answer `OrderCallFailed` with
     ``sent`` false. Answer each effect by one event with its tag.
 
     Parameters
@@ -54,7 +54,7 @@
     tag: str
 
 
-class OrderSettled(NamedTuple):
+class OrderEnded(NamedTuple):
     """Effect: an order has ended, and the engine may get another."""
 
     engine: str
@@ -64,13 +64,13 @@
     detail: str
 
 
-class TermsSettled(NamedTuple):
+class TermsClosed(NamedTuple):
     """Effect: orders of these former terms can come no more; tell the lease."""
 
     terms: tuple[int, ...]
 
 
-class OrderAnswer(NamedTuple):
+class OrderReply(NamedTuple):
     """Event: the engine answered.
 
     Parameters
@@ -93,7 +93,7 @@
     detail: str = ""
 
 
-class OrderFailed(NamedTuple):
+class OrderCallFailed(NamedTuple):
     """Event: no usable answer; ``sent`` is false only if no byte was written."""
 
     engine: str
@@ -103,5 +103,5 @@
 
 
 OrderEffect = (
-    ReadObject | WriteObject | SendOrder | QueryOrder | OrderSettled | TermsSettled
+    ReadObject | WriteObject | SendOrder | QueryOrder | OrderEnded | TermsClosed
 )
--- a/libs/coordination/gypsumusher_coordination/orders.py
+++ b/libs/coordination/gypsumusher_coordination/orders.py
@@ -8,25 +8,25 @@
     CallFailed,
     ReadDone,
     ReadObject,
-    Stored,
+    StoredObject,
     WriteDone,
     WriteObject,
 )
-from gypsumusher_coordination.lease import CLOCK_DRIFT, Authority, OpenTerm
+from gypsumusher_coordination.lease import CLOCK_DRIFT, OpenTerm, TermValidity
 from gypsumusher_coordination.order_effects import (
     ACCEPTED,
     FAILED,
-    FORGOTTEN,
     INTENDED,
+    ORDER_UNKNOWN_DETAIL,
     REFUSALS,
     RUNNING,
-    OrderAnswer,
+    OrderCallFailed,
     OrderEffect,
-    OrderFailed,
-    OrderSettled,
+    OrderEnded,
+    OrderReply,
     QueryOrder,
     SendOrder,
-    TermsSettled,
+    TermsClosed,
 )
 
 ORDER_KIND = "orders"
@@ -63,7 +63,7 @@
         self.not_before_s = float("-inf")
 
 
-class OrderBook:
+class OrderController:
     """Orders of one deployment's steward; passive while the lease is elsewhere.
 
     Failures guarded against, and why the guards hold:
@@ -95,7 +95,7 @@
     order_timeout_s : float or None
         After which the engine closes an orders connection; None for no limit.
     authority : callable
-        Returns the lease's `Authority` at this moment (`Lease.authority`).
+        Returns the lease's `TermValidity` at this moment (`Lease.term_validity`).
     """
 
     def __init__(
@@ -103,7 +103,7 @@
         deployment: str,
         fencing: str,
         order_timeout_s: float | None,
-        authority: Callable[[], Authority],
+        authority: Callable[[], TermValidity],
     ):
         self.deployment = deployment
         self.fencing = fencing
@@ -118,7 +118,7 @@
         self._calls = 0
         self._orders = 0
 
-    def on_lease(
+    def on_lease_gained(
         self, now_s: float, term: int, previous: Iterable[OpenTerm]
     ) -> list[OrderEffect]:
         """Begin a term: forget what was believed and read the intents anew."""
@@ -134,7 +134,7 @@
         """End the term; nothing is written or ordered until the next one."""
         self.term = 0
 
-    def set_policy(self, fencing: str, order_timeout_s: float | None) -> None:
+    def set_fencing(self, fencing: str, order_timeout_s: float | None) -> None:
         """Take changed settings; they hold for the wait that is under way too."""
         self.fencing = fencing
         self.order_timeout_s = order_timeout_s
@@ -155,7 +155,7 @@
             self._engines[name] = _Engine(name)
         return self.tick(now_s)
 
-    def want(
+    def set_goal(
         self, now_s: float, engine: str, goal: dict[str, Any]
     ) -> list[OrderEffect]:
         """Ask for a goal; it replaces an earlier one that was not yet ordered."""
@@ -166,17 +166,17 @@
         state.wanted = goal
         return self._advance(now_s, state)
 
-    def confirm_dead(self, now_s: float, term: int) -> list[OrderEffect]:
+    def confirm_holder_dead(self, now_s: float, term: int) -> list[OrderEffect]:
         """Take an operator's word that the holder of a former term is dead."""
         if all(open_term.term != term for open_term in self._open_terms):
             return []
         return self._settle_terms((term,)) + self.tick(now_s)
 
-    def waiting_for(self) -> tuple[OpenTerm, ...]:
+    def blocking_terms(self) -> tuple[OpenTerm, ...]:
         """Return the former terms that hold orders back, for operators."""
         return () if self.fencing == REFUSES else self._open_terms
 
-    def unfinished(self) -> set[str]:
+    def busy_engines(self) -> set[str]:
         """Return the engines with an unfinished order, or one not yet known."""
         return {
             name
@@ -184,7 +184,7 @@
             if state.step != IDLE or state.wanted is not None
         }
 
-    def has_open_sends(self) -> bool:
+    def has_orders_in_flight(self) -> bool:
         """Return whether an order may be on its way; then don't release the lease."""
         return bool(self._open_sends.get(self.term))
 
@@ -196,7 +196,7 @@
         return effects
 
     def handle(
-        self, now_s: float, event: CallEvent | OrderAnswer | OrderFailed
+        self, now_s: float, event: CallEvent | OrderReply | OrderCallFailed
     ) -> list[OrderEffect]:
         """Take an answer of the platform or of an engine."""
         self._note_send(event)
@@ -204,16 +204,16 @@
             if state.tag != event.tag:
                 continue
             state.tag = None
-            if isinstance(event, OrderAnswer):
+            if isinstance(event, OrderReply):
                 effects = self._on_answer(now_s, state, event)
-            elif isinstance(event, OrderFailed):
+            elif isinstance(event, OrderCallFailed):
                 effects = self._on_order_failed(now_s, state)
             else:
                 effects = self._on_platform(now_s, state, event)
             return effects + self._advance(now_s, state)
         return []
 
-    # Authority and former terms
+    # Lease and former terms
 
     def _may_act(self, now_s: float) -> bool:
         """Return whether the lease holds now, under the term that this book is at."""
@@ -251,7 +251,7 @@
         self._open_terms = tuple(
             open_term for open_term in self._open_terms if open_term.term not in terms
         )
-        return [TermsSettled(terms)]
+        return [TermsClosed(terms)]
 
     def _note_send(self, event: Any) -> None:
         """Forget a send that was answered, or of which no byte was written.
@@ -260,8 +260,10 @@
         of the same order: from then on a late copy is a repeat to it. A refusal
         leaves it open, as the engine does not know the order.
         """
-        is_answer = isinstance(event, OrderAnswer)
-        if not is_answer and not (isinstance(event, OrderFailed) and not event.sent):
+        is_answer = isinstance(event, OrderReply)
+        if not is_answer and not (
+            isinstance(event, OrderCallFailed) and not event.sent
+        ):
             return
         for sends in self._open_sends.values():
             if event.tag not in sends:
@@ -365,7 +367,9 @@
         state.step = SEND
         return []
 
-    def _on_read(self, state: _Engine, stored: Stored | None) -> list[OrderEffect]:
+    def _on_read(
+        self, state: _Engine, stored: StoredObject | None
+    ) -> list[OrderEffect]:
         """Go on from the intent that stands on the platform."""
         state.version = 0 if stored is None else stored.version
         intent = None if stored is None else stored.value
@@ -403,12 +407,10 @@
         ended, detail = state.outcome or (FAILED, "")
         state.order = None
         state.step = IDLE
-        return [
-            OrderSettled(state.name, order["order_id"], order["goal"], ended, detail)
-        ]
+        return [OrderEnded(state.name, order["order_id"], order["goal"], ended, detail)]
 
     def _on_answer(
-        self, now_s: float, state: _Engine, answer: OrderAnswer
+        self, now_s: float, state: _Engine, answer: OrderReply
     ) -> list[OrderEffect]:
         state.not_before_s = now_s + POLL_S
         order = state.order
@@ -423,12 +425,12 @@
         return self._end(state, answer.state, answer.detail)
 
     def _on_unknown_to_engine(
-        self, state: _Engine, answer: OrderAnswer
+        self, state: _Engine, answer: OrderReply
     ) -> list[OrderEffect]:
         """Take a query's answer that speaks of another order or of none."""
         if answer.state == RUNNING:
             return []
-        return self._end(state, FAILED, FORGOTTEN)
+        return self._end(state, FAILED, ORDER_UNKNOWN_DETAIL)
 
     def _end(self, state: _Engine, ended: str, detail: str) -> list[OrderEffect]:
         state.outcome = (ended, detail)
--- a/libs/coordination/gypsumusher_coordination/sealing.py
+++ b/libs/coordination/gypsumusher_coordination/sealing.py
@@ -2,9 +2,9 @@
 
 from gypsumusher_coordination.effects import (
     CallFailed,
+    PeerJournalSealed,
     ReadDone,
     ReadObject,
-    Sealed,
     WriteConflict,
     WriteDone,
     WriteObject,
@@ -27,13 +27,13 @@
     ----------
     incarnation : str
         The home whose journal is to be sealed.
-    by_host : str
+    sealing_host : str
         The host that seals; not the word "home".
 
     Raises
     ------
     ValueError
-        If `by_host` is the word that marks a home's own seal.
+        If `sealing_host` is the word that marks a home's own seal.
 
     Notes
     -----
@@ -41,11 +41,11 @@
     with a true "not run", and starts a new incarnation.
     """
 
-    def __init__(self, incarnation, by_host):
-        if by_host == SEALED_BY_HOME:
-            raise ValueError(f"by_host: {by_host!r} marks a home's own seal")
+    def __init__(self, incarnation, sealing_host):
+        if sealing_host == SEALED_BY_HOME:
+            raise ValueError(f"sealing_host: {sealing_host!r} marks a home's own seal")
         self.incarnation = incarnation
-        self._by_host = by_host
+        self._sealing_host = sealing_host
         self._segment = 0
         self._first_segment = 0
         self._keys = {}
@@ -73,7 +73,7 @@
         Returns
         -------
         list
-            Effects; `Sealed` comes at the end.
+            Effects; `PeerJournalSealed` comes at the end.
         """
         if self._is_started:
             return []
@@ -132,7 +132,7 @@
             return [self._create_sealed()]
         value = event.stored.value
         if value["sealed"] is None:
-            sealed_value = {**value, "sealed": self._by_host}
+            sealed_value = {**value, "sealed": self._sealing_host}
             return [self._write(sealed_value, event.stored.version)]
         return self._on_sealed_segment(value)
 
@@ -175,7 +175,7 @@
         )
         if is_last:
             self._is_done = True
-            return [Sealed(self.incarnation, dict(self._keys))]
+            return [PeerJournalSealed(self.incarnation, dict(self._keys))]
         if self._segment == 0:
             # Segments that the home removed after their retention are passed over;
             # one of them, found missing, would look like the journal's end.
@@ -190,9 +190,9 @@
         value = {
             "incarnation": self.incarnation,
             "segment": self._segment,
-            "writer": self._by_host,
+            "writer": self._sealing_host,
             "sequence": _CREATED_SEALED,
-            "sealed": self._by_host,
+            "sealed": self._sealing_host,
             "keys": {},
         }
         return self._write(value, 0)
@@ -210,5 +210,5 @@
 
     def _next_tag(self):
         self._calls += 1
-        self._call_tag = f"seal.{self.incarnation}.{self._by_host}.{self._calls}"
+        self._call_tag = f"seal.{self.incarnation}.{self._sealing_host}.{self._calls}"
         return self._call_tag
--- a/libs/coordination/tests/test_at_most_once_machine.py
+++ b/libs/coordination/tests/test_at_most_once_machine.py
@@ -16,29 +16,29 @@
     ClaimGranted,
     ClaimRefused,
     DeleteObject,
-    JournalSealed,
+    OwnJournalSealed,
+    PeerJournalSealed,
     ReadDone,
     ReadObject,
-    Sealed,
-    Stored,
+    StoredObject,
     WriteConflict,
     WriteDone,
 )
-from gypsumusher_coordination.journal import HomeJournal, JournalPolicy
+from gypsumusher_coordination.journal import ClaimJournal, JournalPolicy
 from gypsumusher_coordination.keys import parse_key
 from gypsumusher_coordination.sealing import JournalSealer
 
 # Limits so small that segments roll, waits end and keys are forgotten in few steps.
 POLICY = JournalPolicy(
     writes_per_s=10.0,
-    claim_wait_s=1.0,
+    claim_timeout_s=1.0,
     retention_s=5.0,
-    segment_bytes=50,
-    segment_s=4.0,
-    remembered_keys=4,
-    waiting_keys=4,
-    backoff_first_s=0.1,
-    backoff_limit_s=0.5,
+    segment_max_bytes=50,
+    segment_max_age_s=4.0,
+    max_keys=4,
+    max_waiting_claims=4,
+    backoff_initial_s=0.1,
+    backoff_max_s=0.5,
 )
 FINGERPRINTS = ("a", "b")
 PICK = st.integers(0, 2**16)
@@ -63,7 +63,7 @@
             del self.objects[effect.name]
             return WriteDone(effect.tag, self.revision)
         value = {**effect.value, "keys": dict(effect.value["keys"])}
-        self.objects[effect.name] = Stored(self.revision, value)
+        self.objects[effect.name] = StoredObject(self.revision, value)
         if value["sealed"] is not None:
             self.sealed.setdefault(effect.name, (self.revision, value))
         return WriteDone(effect.tag, self.revision)
@@ -109,7 +109,7 @@
     def start_home(self):
         number = len(self.homes)
         self.homes.append(
-            Process(HomeJournal(f"inc{number}", f"writer{number}", POLICY))
+            Process(ClaimJournal(f"inc{number}", f"writer{number}", POLICY))
         )
 
     def live_homes(self):
@@ -126,7 +126,7 @@
                 self.open_claims.discard(effect.key)
                 if effect.run == "no" and effect.code != "key_reused":
                     self.note_not_run(effect.key)
-            elif not isinstance(effect, (JournalSealed, Sealed)):
+            elif not isinstance(effect, (OwnJournalSealed, PeerJournalSealed)):
                 self.calls.append((process, effect))
 
     def note_granted(self, key):
@@ -393,13 +393,13 @@
     @invariant()
     def sealed_segments_never_change(self):
         for name, (version, value) in self.platform.sealed.items():
-            assert self.platform.objects[name] == Stored(version, value)
+            assert self.platform.objects[name] == StoredObject(version, value)
 
     @invariant()
     def memory_is_bounded(self):
         for home in self.homes:
-            in_flight = len(self.running) + POLICY.waiting_keys
-            assert home.machine.remembered <= POLICY.remembered_keys + in_flight
+            in_flight = len(self.running) + POLICY.max_waiting_claims
+            assert home.machine.key_count <= POLICY.max_keys + in_flight
 
     def teardown(self):
         """Heal everything: then each claim is answered and each seal completes."""
--- a/libs/coordination/tests/test_claims.py
+++ b/libs/coordination/tests/test_claims.py
@@ -5,12 +5,12 @@
 from gypsumusher_coordination.claims import WITHDRAWN, CallerKeyClaim
 from gypsumusher_coordination.effects import (
     CallFailed,
-    ClaimElsewhere,
     ClaimGranted,
+    ClaimOwnedElsewhere,
     ClaimRefused,
     ReadDone,
     ReadObject,
-    Stored,
+    StoredObject,
     WriteConflict,
     WriteDone,
 )
@@ -33,8 +33,8 @@
     second, rival = start("home-2", "f", "n2")
     assert create.name == rival.name and rival.if_version == 0
     assert first.handle(0.1, WriteDone(create.tag, 4)) == [ClaimGranted(KEY)]
-    stands = WriteConflict(rival.tag, Stored(4, create.value))
-    assert second.handle(0.1, stands) == [ClaimElsewhere(KEY, "home-1")]
+    stands = WriteConflict(rival.tag, StoredObject(4, create.value))
+    assert second.handle(0.1, stands) == [ClaimOwnedElsewhere(KEY, "home-1")]
     assert first.is_done and second.tick(99.0) == []
 
 
@@ -49,7 +49,7 @@
     assert claim.handle(0.1, CallFailed(create.tag, sent=True)) == []
     [read] = claim.tick(0.5)
     assert isinstance(read, ReadObject)
-    stored = Stored(4, create.value)
+    stored = StoredObject(4, create.value)
     if has_landed:
         effects = claim.handle(0.6, ReadDone(read.tag, stored))
     else:
@@ -62,22 +62,22 @@
 def test_an_earlier_attempt_of_the_same_home_is_not_taken_for_this_one():
     _, create = start(nonce="n0")
     claim, rival = start(nonce="n1")
-    effects = claim.handle(0.1, WriteConflict(rival.tag, Stored(4, create.value)))
-    assert effects == [ClaimElsewhere(KEY, "home-1")]
+    effects = claim.handle(0.1, WriteConflict(rival.tag, StoredObject(4, create.value)))
+    assert effects == [ClaimOwnedElsewhere(KEY, "home-1")]
 
 
 def test_another_body_under_the_key_is_refused():
     _, create = start("home-2", "other", "n2")
     claim, rival = start()
-    effects = claim.handle(0.1, WriteConflict(rival.tag, Stored(4, create.value)))
+    effects = claim.handle(0.1, WriteConflict(rival.tag, StoredObject(4, create.value)))
     assert effects == [ClaimRefused(KEY, "key_reused", "no")]
 
 
 def test_a_withdrawn_key_is_run_by_nobody():
     _, create = start(WITHDRAWN, WITHDRAWN, "n2")
     claim, rival = start()
-    effects = claim.handle(0.1, WriteConflict(rival.tag, Stored(4, create.value)))
-    assert effects == [ClaimElsewhere(KEY, WITHDRAWN)]
+    effects = claim.handle(0.1, WriteConflict(rival.tag, StoredObject(4, create.value)))
+    assert effects == [ClaimOwnedElsewhere(KEY, WITHDRAWN)]
 
 
 def test_with_the_platform_down_the_outcome_is_unknown_and_the_refusal_final():
--- a/libs/coordination/tests/test_claims_machine.py
+++ b/libs/coordination/tests/test_claims_machine.py
@@ -7,12 +7,12 @@
 from gypsumusher_coordination.claims import WITHDRAWN, CallerKeyClaim
 from gypsumusher_coordination.effects import (
     CallFailed,
-    ClaimElsewhere,
     ClaimGranted,
+    ClaimOwnedElsewhere,
     ClaimRefused,
     ReadDone,
     ReadObject,
-    Stored,
+    StoredObject,
     WriteConflict,
     WriteDone,
 )
@@ -36,7 +36,7 @@
 
     def run(self, number, effects):
         for effect in effects:
-            if isinstance(effect, (ClaimGranted, ClaimElsewhere, ClaimRefused)):
+            if isinstance(effect, (ClaimGranted, ClaimOwnedElsewhere, ClaimRefused)):
                 assert number not in self.outcomes, "two answers to one attempt"
                 self.outcomes[number] = effect
                 continue
@@ -49,7 +49,7 @@
             return ReadDone(effect.tag, self.stored)
         if effect.if_version != (self.stored.version if self.stored else 0):
             return WriteConflict(effect.tag, self.stored)
-        self.stored = Stored(1, effect.value)
+        self.stored = StoredObject(1, effect.value)
         return WriteDone(effect.tag, 1)
 
     def answer(self, number, event):
@@ -111,9 +111,9 @@
             if isinstance(outcome, ClaimRefused) and outcome.run == "no":
                 # True only of a body that the key's holder can't have run.
                 assert self.bodies[number][1] != self.stored.value["fingerprint"]
-            if isinstance(outcome, ClaimElsewhere):
+            if isinstance(outcome, ClaimOwnedElsewhere):
                 value = self.stored.value
-                assert outcome.home == value["home"]
+                assert outcome.owner == value["home"]
                 home, fingerprint = self.bodies[number]
                 is_withdrawn = WITHDRAWN in (home, value["home"])
                 assert is_withdrawn or fingerprint == value["fingerprint"]
--- a/libs/coordination/tests/test_config.py
+++ b/libs/coordination/tests/test_config.py
@@ -5,10 +5,10 @@
 import pytest
 
 from gypsumusher_coordination import (
-    Adopted,
     CallFailed,
+    ConfigAdopted,
     ConfigReplica,
-    NeedSection,
+    FetchSection,
     PatchAccepted,
     PatchAttempt,
     PatchInvalid,
@@ -18,13 +18,13 @@
     Problem,
     ReadDone,
     ReadObject,
-    Stored,
+    StoredObject,
     WriteConflict,
     WriteDone,
     WriteObject,
     content_hash,
-    heard_s,
     join_sections,
+    last_contact_s,
     may_serve,
     merge_patch,
     split_document,
@@ -45,7 +45,7 @@
         if (stored.version if stored else 0) != call.if_version:
             return WriteConflict(call.tag, stored)
         version = next(self.revisions)
-        self.objects[call.kind, call.name] = Stored(version, call.value)
+        self.objects[call.kind, call.name] = StoredObject(version, call.value)
         return WriteDone(call.tag, version)
 
     def head(self):
@@ -86,10 +86,10 @@
 
 def feed(replica, store, head, now_s=0.0):
     adopted = []
-    effects = replica.offer(now_s, head)
+    effects = replica.on_head(now_s, head)
     while effects:
         effect = effects.pop(0)
-        if isinstance(effect, Adopted):
+        if isinstance(effect, ConfigAdopted):
             adopted.append(effect.number)
             continue
         value = store.objects["configsections", effect.hash].value
@@ -170,8 +170,8 @@
     first = store.head()
     run(store, attempt_of(1, service(2.0), "p2"))
     replica = ConfigReplica("host-1")
-    (need,) = replica.offer(0.0, store.head())
-    assert replica.offer(0.1, first) == []
+    (need,) = replica.on_head(0.0, store.head())
+    assert replica.on_head(0.1, first) == []
     value = store.objects["configsections", need.hash].value
     (adopted,) = replica.on_section(0.2, need.hash, value)
     assert adopted.number == 2
@@ -186,12 +186,12 @@
     store = Store()
     run(store, attempt_of(0, service(30.0), "p1"))
     replica = ConfigReplica("host-1")
-    (need,) = replica.offer(0.0, store.head())
+    (need,) = replica.on_head(0.0, store.head())
     assert replica.on_section(0.1, need.hash, {"timeout_s": 9.0}) == []
     assert replica.on_section(0.1, need.hash, {"timeout_s": float("nan")}) == []
     assert replica.number == 0
     assert replica.tick(0.2) == []
-    assert replica.tick(1.0) == [NeedSection(need.hash)]
+    assert replica.tick(1.0) == [FetchSection(need.hash)]
     assert feed(replica, store, store.head()) == []
     value = store.objects["configsections", need.hash].value
     assert replica.on_section(1.1, need.hash, value)[0].number == 1
@@ -212,7 +212,7 @@
     ],
 )
 def test_malformed_heads_are_ignored(head):
-    assert ConfigReplica("host-1").offer(0.0, head) == []
+    assert ConfigReplica("host-1").on_head(0.0, head) == []
 
 
 def test_racing_patches_one_wins_and_the_other_learns_what_changed():
@@ -328,7 +328,7 @@
     hosts = ["a", "b", "c", "d", "e"]
 
     def serves(now_s, platform_s, peers_s, setting="stop"):
-        heard = heard_s(now_s, platform_s, peers_s, "a", hosts)
+        heard = last_contact_s(now_s, platform_s, peers_s, "a", hosts)
         return may_serve(now_s, heard, setting, limit_s=8.0)
 
     assert serves(100.0, 93.0, {})
--- a/libs/coordination/tests/test_config_machine.py
+++ b/libs/coordination/tests/test_config_machine.py
@@ -13,10 +13,10 @@
 )
 
 from gypsumusher_coordination import (
-    Adopted,
     CallFailed,
+    ConfigAdopted,
     ConfigReplica,
-    NeedSection,
+    FetchSection,
     PatchAccepted,
     PatchAttempt,
     PatchInvalid,
@@ -24,7 +24,7 @@
     PatchUnavailable,
     ReadDone,
     ReadObject,
-    Stored,
+    StoredObject,
     WriteConflict,
     WriteDone,
     WriteObject,
@@ -53,7 +53,7 @@
             return ReadDone(call.tag, stored)
         if (stored.version if stored else 0) != call.if_version:
             return WriteConflict(call.tag, stored)
-        self.objects[place] = Stored(next(self.revisions), call.value)
+        self.objects[place] = StoredObject(next(self.revisions), call.value)
         if call.kind == "config":
             self.heads.append(call.value)
         return WriteDone(call.tag, self.objects[place].version)
@@ -131,11 +131,11 @@
         effects = list(effects)
         while effects:
             effect = effects.pop(0)
-            if isinstance(effect, Adopted):
+            if isinstance(effect, ConfigAdopted):
                 assert effect.number > self.numbers[host], "adopted a lower number"
                 self.numbers[host] = effect.number
                 continue
-            assert isinstance(effect, NeedSection)
+            assert isinstance(effect, FetchSection)
             value = source(effect.hash)
             if value is not None:
                 effects.extend(replica.on_section(self.now_s, effect.hash, value))
@@ -240,19 +240,19 @@
         heads = self.platform.heads
         head = heads[pick % len(heads)] if old else heads[-1]
         source = self.from_platform if sections else lambda section_hash: None
-        self.feed(host, self.replicas[host].offer(self.now_s, head), source)
+        self.feed(host, self.replicas[host].on_head(self.now_s, head), source)
 
     @rule(host=HOST, peer=HOST)
     def hear_peer(self, host, peer):
         other = self.replicas[peer]
-        effects = self.replicas[host].offer(self.now_s, other.head)
+        effects = self.replicas[host].on_head(self.now_s, other.head)
         self.feed(host, effects, other.sections.get)
 
     @rule(host=HOST, value=st.sampled_from([{"timeout_s": 9.0}, None, [], "x"]))
     def hear_damaged_section(self, host, value):
         effects = self.replicas[host].tick(self.now_s)
         for effect in effects:
-            if isinstance(effect, NeedSection):
+            if isinstance(effect, FetchSection):
                 effects = self.replicas[host].on_section(self.now_s, effect.hash, value)
                 self.feed(host, effects, lambda section_hash: None)
 
@@ -320,7 +320,7 @@
         if not self.platform.heads:
             return
         head = self.platform.heads[-1]
-        self.feed("a", self.replicas["a"].offer(self.now_s, head), self.from_platform)
+        self.feed("a", self.replicas["a"].on_head(self.now_s, head), self.from_platform)
         self.now_s += 1.0
         self.feed("a", self.replicas["a"].tick(self.now_s), self.from_platform)
         for host, peer in (("b", "a"), ("c", "b")):
--- a/libs/coordination/tests/test_expiry.py
+++ b/libs/coordination/tests/test_expiry.py
@@ -3,7 +3,7 @@
 from gypsumusher_coordination.effects import (
     CallFailed,
     DeleteObject,
-    Stored,
+    StoredObject,
     WriteConflict,
     WriteDone,
 )
@@ -15,7 +15,7 @@
 def make_expiry():
     expiry = SegmentExpiry("journals", "home-1", retention_s=100.0)
     for segment in range(3):
-        closed = Stored(segment + 1, {**VALUE, "segment": segment})
+        closed = StoredObject(segment + 1, {**VALUE, "segment": segment})
         expiry.on_closed(float(segment), segment, closed)
     assert expiry.tick(50.0) == []
     [write] = expiry.tick(101.5)
@@ -39,16 +39,16 @@
 
 def test_a_sealed_journal_is_left_as_it_is():
     expiry, write = make_expiry()
-    sealed = Stored(9, {**VALUE, "sealed": "host-2"})
+    sealed = StoredObject(9, {**VALUE, "sealed": "host-2"})
     expiry.handle(105.0, WriteConflict(write.tag, sealed))
-    assert expiry.is_sealed_out and expiry.tick(999.0) == []
+    assert expiry.is_fenced and expiry.tick(999.0) == []
 
 
 def test_lost_answers_are_settled_by_the_next_call():
     expiry, write = make_expiry()
     expiry.handle(105.0, CallFailed(write.tag, sent=True))
     [again] = expiry.tick(106.0)
-    expiry.handle(106.1, WriteConflict(again.tag, Stored(9, write.value)))
+    expiry.handle(106.1, WriteConflict(again.tag, StoredObject(9, write.value)))
     [delete] = expiry.tick(107.0)
     expiry.handle(107.1, CallFailed(delete.tag, sent=True))
     [delete] = expiry.tick(108.0)
--- a/libs/coordination/tests/test_journal.py
+++ b/libs/coordination/tests/test_journal.py
@@ -8,22 +8,22 @@
     CallFailed,
     ClaimGranted,
     ClaimRefused,
-    JournalSealed,
+    OwnJournalSealed,
     ReadDone,
     ReadObject,
-    Stored,
+    StoredObject,
     WriteConflict,
     WriteDone,
     WriteObject,
 )
-from gypsumusher_coordination.journal import HomeJournal, JournalPolicy
+from gypsumusher_coordination.journal import ClaimJournal, JournalPolicy
 from gypsumusher_coordination.keys import parse_key
 
 RANDOM = "0123456789abcdef"
 
 
 def make_journal(**limits):
-    return HomeJournal("home-1", "writer-1", JournalPolicy(**limits))
+    return ClaimJournal("home-1", "writer-1", JournalPolicy(**limits))
 
 
 def claim(journal, now_s, fingerprint="f"):
@@ -39,7 +39,7 @@
     with pytest.raises(ValueError, match="key"):
         make_journal().claim(0.0, "gk1.home-2.0.0.01234567", "f")
     with pytest.raises(ValueError, match="key"):
-        HomeJournal("with.dot", "writer", JournalPolicy())
+        ClaimJournal("with.dot", "writer", JournalPolicy())
 
 
 def test_claims_that_gather_share_one_write_and_the_rate_holds():
@@ -67,10 +67,10 @@
     assert journal.handle(0.1, CallFailed(write.tag, sent=True)) == []
     [read] = journal.tick(0.5)
     assert isinstance(read, ReadObject)
-    stored = Stored(3, write.value)
+    stored = StoredObject(3, write.value)
     assert journal.handle(0.6, ReadDone(read.tag, stored)) == [ClaimGranted(key)]
     assert journal.handle(0.7, WriteDone(write.tag, 3)) == []
-    assert not journal.is_sealed_out
+    assert not journal.is_fenced
 
 
 def test_a_strangers_write_shuts_the_home_out():
@@ -80,10 +80,10 @@
     """
     journal = make_journal()
     key, [write] = claim(journal, 0.0)
-    stored = Stored(3, {**write.value, "writer": "writer-2"})
+    stored = StoredObject(3, {**write.value, "writer": "writer-2"})
     effects = journal.handle(0.1, WriteConflict(write.tag, stored))
     assert effects == [ClaimRefused(key, "journal_unavailable", "no")]
-    assert journal.is_sealed_out
+    assert journal.is_fenced
 
 
 def test_a_claim_refused_after_its_wait_is_never_granted_by_a_write_that_lands():
@@ -92,7 +92,7 @@
     The caller may have sent its booking elsewhere by then. Neither the late answer
     nor a repeat of the request may run it here.
     """
-    journal = make_journal(claim_wait_s=2.0)
+    journal = make_journal(claim_timeout_s=2.0)
     key, [write] = claim(journal, 0.0)
     assert journal.tick(2.0) == [ClaimRefused(key, "journal_unavailable", "no")]
     assert journal.handle(2.1, WriteDone(write.tag, 3)) == []
@@ -101,7 +101,9 @@
 
 
 def test_unsent_failures_are_retried_with_backoff():
-    journal = make_journal(claim_wait_s=60.0, backoff_first_s=0.1, backoff_limit_s=1.0)
+    journal = make_journal(
+        claim_timeout_s=60.0, backoff_initial_s=0.1, backoff_max_s=1.0
+    )
     key, [write] = claim(journal, 0.0)
     sent_s = []
     for step in range(1, 1000):
@@ -159,14 +161,14 @@
 
     The host would run out of memory, or forget a key and run it again.
     """
-    journal = make_journal(remembered_keys=100, claim_wait_s=0.5)
+    journal = make_journal(max_keys=100, claim_timeout_s=0.5)
     made_up = f"gk1.home-1.0.999999.{RANDOM}"
     assert journal.claim(0.0, made_up, "f")[0].run == "unknown"
     first, [write] = claim(journal, 0.0)
     for step in range(1, 1000):
         claim(journal, step / 10)
         journal.tick(step / 10)
-        assert journal.remembered <= 100
+        assert journal.key_count <= 100
     refusal = ClaimRefused(first, "key_unknown_outcome", "unknown")
     assert journal.claim(100.0, first, "f") == [refusal]
     assert journal.resolve(100.0, first) == "unknown"
@@ -179,12 +181,14 @@
     journal.finish(0.2, key)
     for second in range(1, 30):
         journal.tick(float(second))
-    assert journal.remembered == 0
+    assert journal.key_count == 0
     assert journal.claim(30.0, key, "f")[0].code == "key_unknown_outcome"
 
 
 def test_segments_roll_below_their_limit():
-    journal = make_journal(segment_bytes=500, segment_s=1e6, writes_per_s=1e6)
+    journal = make_journal(
+        segment_max_bytes=500, segment_max_age_s=1e6, writes_per_s=1e6
+    )
     sizes_bytes = {}
     for step in range(100):
         _, [write] = claim(journal, float(step), "f" * 32)
@@ -216,8 +220,8 @@
     assert write.value["sealed"] == "home" and key in write.value["keys"]
     journal.handle(2.1, CallFailed(write.tag, sent=True))
     [read] = journal.tick(3.0)
-    event = ReadDone(read.tag, Stored(2, write.value))
-    assert journal.handle(3.1, event) == [JournalSealed()]
+    event = ReadDone(read.tag, StoredObject(2, write.value))
+    assert journal.handle(3.1, event) == [OwnJournalSealed()]
     assert journal.tick(9.0) == []
 
 
@@ -227,14 +231,14 @@
     A survivor seals segment zero. The host must not take itself for shut out and
     begin a new incarnation while it stops.
     """
-    journal = make_journal(segment_bytes=1, retention_s=10.0, writes_per_s=100.0)
+    journal = make_journal(segment_max_bytes=1, retention_s=10.0, writes_per_s=100.0)
     for second in (0.0, 1.0):
         key, [write] = claim(journal, second)
         journal.handle(second, WriteDone(write.tag, 1))
         journal.finish(second, key)
     [expiry] = [e for e in journal.tick(20.0) if e.name == "home-1.0"]
     [seal] = journal.seal(20.1)
-    assert journal.handle(20.2, WriteDone(seal.tag, 2)) == [JournalSealed()]
-    sealed = Stored(9, {**expiry.value, "sealed": "host-2"})
+    assert journal.handle(20.2, WriteDone(seal.tag, 2)) == [OwnJournalSealed()]
+    sealed = StoredObject(9, {**expiry.value, "sealed": "host-2"})
     assert journal.handle(20.3, WriteConflict(expiry.tag, sealed)) == []
-    assert not journal.is_sealed_out
+    assert not journal.is_fenced
--- a/libs/coordination/tests/test_lease.py
+++ b/libs/coordination/tests/test_lease.py
@@ -12,7 +12,7 @@
     OpenTerm,
     ReadDone,
     ReadObject,
-    Stored,
+    StoredObject,
     WriteConflict,
     WriteDone,
 )
@@ -32,7 +32,7 @@
             return ReadDone(call.tag, self.stored)
         if (self.stored.version if self.stored else 0) != call.if_version:
             return WriteConflict(call.tag, self.stored)
-        self.stored = Stored(next(self.revisions), call.value)
+        self.stored = StoredObject(next(self.revisions), call.value)
         return WriteDone(call.tag, self.stored.version)
 
 
@@ -66,7 +66,7 @@
     assert gain(lease, store, 0.0) == LeaseGained(1, ())
     for step in range(1, 200):
         assert run(lease, store, step * 0.5) == []
-        assert lease.held(step * 0.5)
+        assert lease.is_held(step * 0.5)
     assert store.stored.value["term"] == 1
     # A renewal is a third of the duration apart: 100 s take about 50.
     assert store.stored.version <= 52
@@ -85,7 +85,7 @@
     (gained,) = lease.handle(6.0, store.apply(write))
     assert isinstance(gained, LeaseGained)
     assert lease.valid_until_s == 1.0 + DURATION_S
-    assert lease.held(6.9) and not lease.held(7.0)
+    assert lease.is_held(6.9) and not lease.is_held(7.0)
 
 
 def test_answer_after_the_whole_duration_gives_no_lease():
@@ -94,7 +94,7 @@
     run(lease, store, 0.0)
     (write,) = lease.tick(1.0)
     assert lease.handle(7.5, store.apply(write)) == []
-    assert not lease.held(7.5)
+    assert not lease.is_held(7.5)
     (gained,) = run(lease, store, 7.6)
     assert gained.term == 2
 
@@ -103,8 +103,8 @@
     store = Store()
     lease = make_lease("a")
     gain(lease, store, 0.0)
-    assert not lease.held(100.0)
-    assert lease.authority().valid_until_s < 100.0
+    assert not lease.is_held(100.0)
+    assert lease.term_validity().valid_until_s < 100.0
     said = run(lease, store, 100.0)
     assert said[0] == LeaseLost(1)
 
@@ -121,7 +121,7 @@
     run(observer, store, 5.0)
     for now_s in (7.0, 9.0, 10.9):
         assert run(observer, store, now_s) == []
-    renewed = Stored(50, {**store.stored.value, "nonce": "a-renewal"})
+    renewed = StoredObject(50, {**store.stored.value, "nonce": "a-renewal"})
     store.stored = renewed
     assert run(observer, store, 11.1) == []
     for now_s in (14.0, 17.0, 17.1):
@@ -142,9 +142,9 @@
     for step in range(500, 700):
         real_s = step / 100
         run(observer, store, real_s * 1.004)
-        both = holder.held(real_s * 0.996) and observer.held(real_s * 1.004)
+        both = holder.is_held(real_s * 0.996) and observer.is_held(real_s * 1.004)
         assert not both, real_s
-    assert observer.held(7.0)
+    assert observer.is_held(7.0)
 
 
 def test_two_observers_race_and_one_wins():
@@ -159,7 +159,7 @@
         observer.handle(8.1, answer) for observer, answer in zip(observers, answers)
     ]
     assert [len(effects) for effects in said] == [1, 0]
-    assert [observer.held(8.1) for observer in observers] == [True, False]
+    assert [observer.is_held(8.1) for observer in observers] == [True, False]
 
 
 def test_renewal_under_way_during_a_takeover_fails_on_its_condition():
@@ -169,7 +169,7 @@
     run(observer, store, 0.0)
     (renewal,) = holder.tick(5.9)
     run(observer, store, 6.1)
-    assert observer.held(6.1)
+    assert observer.is_held(6.1)
     assert holder.handle(6.2, store.apply(renewal)) == [LeaseLost(1)]
     assert store.stored.value["holder"] == "b"
 
@@ -231,7 +231,7 @@
     holder, observer = make_lease("a"), make_lease("b")
     gain(holder, store, 0.0)
     assert run(holder, store, 1.0, holder.release(1.0)) == [LeaseLost(1)]
-    assert holder.released and not holder.held(1.0)
+    assert holder.is_released and not holder.is_held(1.0)
     assert holder.tick(50.0) == []
     run(observer, store, 1.1)
     assert run(observer, store, 1.1) == [LeaseGained(2, ())]
@@ -245,7 +245,7 @@
     assert lease.release(0.1) == []
     assert run(lease, store, 0.2, lease.handle(0.2, store.apply(write))) == []
     assert run(lease, store, 0.3) == []
-    assert lease.released
+    assert lease.is_released
     assert store.stored.value["released"]
 
 
@@ -263,7 +263,7 @@
     run(second, store, 7.5, second.release(7.5))
     run(third, store, 8.0)
     assert run(third, store, 8.0) == [LeaseGained(3, (OpenTerm(1, "a", "a-1"),))]
-    third.settle_terms((1,))
+    third.close_terms((1,))
     run(third, store, 11.0)
     assert store.stored.value["open_terms"] == []
 
@@ -274,20 +274,20 @@
     # for the whole duration again.
     store, holder, heir = Store(), make_lease("a"), make_lease("b")
     gain(holder, store, 0.0)
-    heir.observe(0.5, store.stored)
-    assert heir.known() == store.stored
+    heir.on_stored_received(0.5, store.stored)
+    assert heir.last_stored() == store.stored
     (gained,) = run(heir, store, 0.5 + 1.02 * DURATION_S)
     assert gained.term == 2
-    assert not holder.held(0.5 + 1.02 * DURATION_S)
+    assert not holder.is_held(0.5 + 1.02 * DURATION_S)
 
 
 def test_a_version_that_was_renewed_unheard_is_not_taken_over():
     store, holder, heir = Store(), make_lease("a"), make_lease("b")
     gain(holder, store, 0.0)
-    heir.observe(0.5, store.stored)
+    heir.on_stored_received(0.5, store.stored)
     run(holder, store, 3.0)
     assert not run(heir, store, 0.5 + 1.02 * DURATION_S)
-    assert holder.held(0.5 + 1.02 * DURATION_S)
+    assert holder.is_held(0.5 + 1.02 * DURATION_S)
 
 
 def test_an_older_version_that_is_heard_late_changes_nothing():
@@ -295,6 +295,6 @@
     gain(holder, store, 0.0)
     old = store.stored
     run(holder, store, 3.0)
-    heir.observe(3.1, store.stored)
-    heir.observe(9.0, old)
-    assert heir.known() == store.stored
+    heir.on_stored_received(3.1, store.stored)
+    heir.on_stored_received(9.0, old)
+    assert heir.last_stored() == store.stored
--- a/libs/coordination/tests/test_membership.py
+++ b/libs/coordination/tests/test_membership.py
@@ -4,11 +4,11 @@
 import pytest
 
 from gypsumusher_coordination.membership import (
-    LIST_SOURCE,
-    OWN_SOURCE,
+    ENDPOINT_SOURCE,
+    PLATFORM_SOURCE,
     Membership,
     MembershipPolicy,
-    message_bytes,
+    max_message_bytes,
 )
 
 POLICY = MembershipPolicy()
@@ -20,7 +20,7 @@
     for member in cell.values():
         member.set_hosts(0.0, names)
         for endpoint in endpoints:
-            member.observe(0.0, endpoint, LIST_SOURCE, False)
+            member.on_source_report(0.0, endpoint, PLATFORM_SOURCE, False)
     return cell
 
 
@@ -31,7 +31,7 @@
             if name in cut or probe.host in cut:
                 member.on_probe_failed(now_s, probe.host)
                 continue
-            answer = cell[probe.host].on_gossip(now_s, name, probe.message)
+            answer = cell[probe.host].on_probe(now_s, name, probe.message)
             on_message(probe.host, answer)
             member.on_probe_answer(now_s, probe.host, answer)
 
@@ -50,25 +50,25 @@
     """
     cell = make_cell(3)
     now_s = run(cell, 0.0, 6.0, cut={"host-2"})
-    assert cell["host-0"].state("host-2") == "suspect"
-    assert cell["host-0"].state("host-1") == "live"
+    assert cell["host-0"].host_state("host-2") == "suspect"
+    assert cell["host-0"].host_state("host-1") == "live"
     run(cell, now_s, POLICY.probe_interval_s + 0.2)
-    assert cell["host-0"].state("host-2") == "live"
+    assert cell["host-0"].host_state("host-2") == "live"
 
 
 def test_a_stopping_host_is_leaving_until_its_next_incarnation():
     cell = make_cell(2)
     cell["host-1"].set_leaving()
     run(cell, 0.0, 3.0)
-    assert cell["host-0"].state("host-1") == "leaving"
+    assert cell["host-0"].host_state("host-1") == "leaving"
     cell["host-0"].set_hosts(4.0, {"host-1": "next"})
     late = {"incarnation": "incarnation-1", "leaving": True, "facts": []}
-    cell["host-0"].on_gossip(4.1, "host-1", late)
-    assert cell["host-0"].state("host-1") == "live"
-    assert cell["host-0"].state("elsewhere") == "suspect"
+    cell["host-0"].on_probe(4.1, "host-1", late)
+    assert cell["host-0"].host_state("host-1") == "live"
+    assert cell["host-0"].host_state("elsewhere") == "suspect"
 
 
-@pytest.mark.parametrize("source", [LIST_SOURCE, OWN_SOURCE])
+@pytest.mark.parametrize("source", [PLATFORM_SOURCE, ENDPOINT_SOURCE])
 def test_one_host_hears_that_an_endpoint_leaves_and_all_know_within_a_second(source):
     """The platform's list lags: for now only one host has heard of the leaving.
 
@@ -77,10 +77,12 @@
     """
     cell = make_cell(8, ["engine"])
     now_s = run(cell, 0.0, 3.0)
-    cell["host-0"].observe(now_s, "engine", source, True)
+    cell["host-0"].on_source_report(now_s, "engine", source, True)
     now_s = run(cell, now_s, 1.0)
     for member in cell.values():
-        member.observe(now_s, "engine", LIST_SOURCE, member is cell["host-0"])
+        member.on_source_report(
+            now_s, "engine", PLATFORM_SOURCE, member is cell["host-0"]
+        )
     assert all(member.is_endpoint_leaving("engine") for member in cell.values())
 
 
@@ -88,7 +90,7 @@
     cell = make_cell(3, ["engine"])
     now_s = 0.0
     for is_leaving in (True, False, True, False):
-        cell["host-1"].observe(now_s, "engine", LIST_SOURCE, is_leaving)
+        cell["host-1"].on_source_report(now_s, "engine", PLATFORM_SOURCE, is_leaving)
         now_s = run(cell, now_s, 3.0)
         for member in cell.values():
             assert member.is_endpoint_leaving("engine") == is_leaving
@@ -96,8 +98,8 @@
 
 def test_the_endpoints_word_does_not_overrule_the_list():
     member = make_cell(1)["host-0"]
-    member.observe(0.0, "engine", LIST_SOURCE, True)
-    member.observe(1.0, "engine", OWN_SOURCE, False)
+    member.on_source_report(0.0, "engine", PLATFORM_SOURCE, True)
+    member.on_source_report(1.0, "engine", ENDPOINT_SOURCE, False)
     assert member.is_endpoint_leaving("engine")
 
 
@@ -109,29 +111,29 @@
     """
     member = make_cell(2, ["engine"])["host-0"]
     news = {"incarnation": "incarnation-1", "leaving": False}
-    member.on_gossip(1.0, "host-1", {**news, "facts": [["engine", 0, 5, 1]]})
-    member.observe(2.0, "engine", LIST_SOURCE, False)
+    member.on_probe(1.0, "host-1", {**news, "facts": [["engine", 0, 5, 1]]})
+    member.on_source_report(2.0, "engine", PLATFORM_SOURCE, False)
     assert member.is_endpoint_leaving("engine")
-    member.observe(2.0 + POLICY.settle_s, "engine", LIST_SOURCE, False)
+    member.on_source_report(2.0 + POLICY.source_lag_s, "engine", PLATFORM_SOURCE, False)
     assert not member.is_endpoint_leaving("engine")
 
 
 def test_two_hosts_that_count_up_at_once_agree_on_leaving():
     member = make_cell(2, ["engine"])["host-0"]
-    member.observe(1.0, "engine", LIST_SOURCE, True)
-    member.observe(2.0, "engine", LIST_SOURCE, False)
+    member.on_source_report(1.0, "engine", PLATFORM_SOURCE, True)
+    member.on_source_report(2.0, "engine", PLATFORM_SOURCE, False)
     news = {"incarnation": "incarnation-1", "leaving": False}
-    member.on_gossip(3.0, "host-1", {**news, "facts": [["engine", 0, 2, 1]]})
+    member.on_probe(3.0, "host-1", {**news, "facts": [["engine", 0, 2, 1]]})
     assert member.is_endpoint_leaving("engine")
-    member.on_gossip(4.0, "host-1", {**news, "facts": [["engine", 0, 2, 0]]})
+    member.on_probe(4.0, "host-1", {**news, "facts": [["engine", 0, 2, 0]]})
     assert member.is_endpoint_leaving("engine")
 
 
 def test_news_that_changes_while_a_probe_is_out_is_sent_again():
     member = make_cell(2, ["engine"])["host-0"]
-    member.observe(9.0, "engine", LIST_SOURCE, True)
+    member.on_source_report(9.0, "engine", PLATFORM_SOURCE, True)
     [probe] = member.tick(9.0)
-    member.observe(9.1, "engine", LIST_SOURCE, False)
+    member.on_source_report(9.1, "engine", PLATFORM_SOURCE, False)
     answer = {"incarnation": "incarnation-1", "leaving": False, "facts": []}
     member.on_probe_answer(9.2, "host-1", answer)
     [probe] = member.tick(9.5)
@@ -147,9 +149,9 @@
     sent_bytes = dict.fromkeys(cell, 0)
 
     def count(sender, message):
-        assert len(msgpack.packb(message)) <= message_bytes(message)
-        assert len(message["facts"]) <= POLICY.facts_per_message
-        sent_bytes[sender] += message_bytes(message)
+        assert len(msgpack.packb(message)) <= max_message_bytes(message)
+        assert len(message["facts"]) <= POLICY.updates_per_message
+        sent_bytes[sender] += max_message_bytes(message)
 
     now_s = 0.0
     for second in range(120):
@@ -158,7 +160,7 @@
                 continue
             for member in cell.values():
                 is_leaving = second // 30 % 2 == 0
-                member.observe(now_s, endpoint, LIST_SOURCE, is_leaving)
+                member.on_source_report(now_s, endpoint, PLATFORM_SOURCE, is_leaving)
         now_s = run(cell, now_s, 1.0, on_message=count)
     assert max(sent_bytes.values()) / 120 < 2_000
 
@@ -179,4 +181,4 @@
 )
 def test_a_message_of_another_protocol_is_refused(message):
     with pytest.raises(ValueError, match="message"):
-        make_cell(2)["host-0"].on_gossip(0.0, "host-1", message)
+        make_cell(2)["host-0"].on_probe(0.0, "host-1", message)
--- a/libs/coordination/tests/test_membership_machine.py
+++ b/libs/coordination/tests/test_membership_machine.py
@@ -4,7 +4,11 @@
 from hypothesis import settings
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from gypsumusher_coordination.membership import LIST_SOURCE, Membership, message_bytes
+from gypsumusher_coordination.membership import (
+    PLATFORM_SOURCE,
+    Membership,
+    max_message_bytes,
+)
 
 HOSTS = ("a", "b", "c")
 ENDPOINTS = ("engine-1", "engine-2")
@@ -42,7 +46,9 @@
     @rule(host=HOST, endpoint=ENDPOINT)
     def read_list(self, host, endpoint):
         member = self.members[host]
-        member.observe(self.now_s, endpoint, LIST_SOURCE, self.is_leaving[endpoint])
+        member.on_source_report(
+            self.now_s, endpoint, PLATFORM_SOURCE, self.is_leaving[endpoint]
+        )
 
     @rule(host=HOST)
     def restart(self, host):
@@ -62,7 +68,7 @@
         self.now_s += wait_s
         for host, member in self.members.items():
             for probe in member.tick(self.now_s):
-                assert message_bytes(probe.message) < MESSAGE_LIMIT_BYTES
+                assert max_message_bytes(probe.message) < MESSAGE_LIMIT_BYTES
                 if is_late:
                     self.late.append((host, probe))
                     continue
@@ -78,13 +84,13 @@
         if host in self.cut or probe.host in self.cut:
             member.on_probe_failed(self.now_s, probe.host)
             return
-        answer = self.members[probe.host].on_gossip(self.now_s, host, probe.message)
+        answer = self.members[probe.host].on_probe(self.now_s, host, probe.message)
         member.on_probe_answer(self.now_s, probe.host, answer)
 
     @invariant()
     def no_host_suspects_itself(self):
         for host, member in self.members.items():
-            assert member.state(host) == "live"
+            assert member.host_state(host) == "live"
 
     def teardown(self):
         """All is healed: every host is live to every other and the list is believed."""
@@ -98,7 +104,9 @@
                 self.exchange(3.0, False)
             self.exchange(60.0, False)
         for member in self.members.values():
-            assert [member.state(other) for other in HOSTS] == ["live"] * len(HOSTS)
+            assert [member.host_state(other) for other in HOSTS] == ["live"] * len(
+                HOSTS
+            )
             for endpoint, is_leaving in self.is_leaving.items():
                 assert member.is_endpoint_leaving(endpoint) == is_leaving
 
--- a/libs/coordination/tests/test_orders.py
+++ b/libs/coordination/tests/test_orders.py
@@ -3,19 +3,19 @@
 import itertools
 
 from gypsumusher_coordination import (
-    Authority,
     CallFailed,
     OpenTerm,
-    OrderAnswer,
-    OrderBook,
-    OrderFailed,
-    OrderSettled,
+    OrderCallFailed,
+    OrderController,
+    OrderEnded,
+    OrderReply,
     QueryOrder,
     ReadDone,
     ReadObject,
     SendOrder,
-    Stored,
-    TermsSettled,
+    StoredObject,
+    TermsClosed,
+    TermValidity,
     WriteConflict,
     WriteDone,
     WriteObject,
@@ -33,7 +33,7 @@
         self.revisions = itertools.count(1)
         self.objects = {}
         for engine, intent in dict(intents).items():
-            self.objects[engine] = Stored(next(self.revisions), intent)
+            self.objects[engine] = StoredObject(next(self.revisions), intent)
 
     def apply(self, call):
         stored = self.objects.get(call.name)
@@ -41,7 +41,7 @@
             return ReadDone(call.tag, stored)
         if (stored.version if stored else 0) != call.if_version:
             return WriteConflict(call.tag, stored)
-        self.objects[call.name] = Stored(next(self.revisions), call.value)
+        self.objects[call.name] = StoredObject(next(self.revisions), call.value)
         return WriteDone(call.tag, self.objects[call.name].version)
 
     def state(self, engine="e"):
@@ -55,12 +55,12 @@
         self.store = store
         self.valid_until_s = 1000.0
         self.term = term
-        self.book = OrderBook("d", fencing, timeout_s, self.authority)
+        self.book = OrderController("d", fencing, timeout_s, self.authority)
         self.book.set_engines(0.0, ["e"])
-        self.said = self.run(0.0, self.book.on_lease(0.0, term, previous))
+        self.said = self.run(0.0, self.book.on_lease_gained(0.0, term, previous))
 
     def authority(self):
-        return Authority("b-1", self.term, self.valid_until_s)
+        return TermValidity("b-1", self.term, self.valid_until_s)
 
     def run(self, now_s, effects):
         """Answer platform calls; returns the other effects."""
@@ -77,15 +77,15 @@
         return self.run(now_s, self.book.tick(now_s))
 
     def want(self, now_s, goal):
-        return self.run(now_s, self.book.want(now_s, "e", goal))
+        return self.run(now_s, self.book.set_goal(now_s, "e", goal))
 
     def answer(self, now_s, effect, state, order_id=None):
         order_id = effect.order_id if order_id is None else order_id
-        event = OrderAnswer("e", order_id, state, effect.tag)
+        event = OrderReply("e", order_id, state, effect.tag)
         return self.run(now_s, self.book.handle(now_s, event))
 
     def fail(self, now_s, effect, sent):
-        event = OrderFailed("e", getattr(effect, "order_id", ""), sent, effect.tag)
+        event = OrderCallFailed("e", getattr(effect, "order_id", ""), sent, effect.tag)
         return self.run(now_s, self.book.handle(now_s, event))
 
 
@@ -106,16 +106,16 @@
     assert isinstance(send, SendOrder)
     assert send[:5] == ("e", "b-1.2.1", 2, DECODE, 1000.0)
     assert store.objects["e"].value == intended("b-1.2.1", DECODE) | {"term": 2}
-    assert steward.book.unfinished() == {"e"}
+    assert steward.book.busy_engines() == {"e"}
     assert steward.answer(1.1, send, "accepted") == []
     (query,) = steward.tick(2.0)
     assert isinstance(query, QueryOrder)
     assert steward.answer(2.0, query, "running", "b-1.2.1") == []
     (query,) = steward.tick(3.0)
     (settled,) = steward.answer(3.0, query, "done", "b-1.2.1")
-    assert settled == OrderSettled("e", "b-1.2.1", DECODE, "done", "")
+    assert settled == OrderEnded("e", "b-1.2.1", DECODE, "done", "")
     assert store.state() == "done"
-    assert steward.book.unfinished() == set()
+    assert steward.book.busy_engines() == set()
 
 
 def test_second_goal_waits_for_the_first_order():
@@ -139,11 +139,11 @@
     steward = Steward(Store())
     (send,) = steward.want(1.0, DECODE)
     assert steward.fail(1.1, send, sent=True) == []
-    assert steward.book.has_open_sends()
+    assert steward.book.has_orders_in_flight()
     (again,) = steward.tick(2.0)
     assert again.order_id == send.order_id
     steward.answer(2.1, again, "running")
-    assert not steward.book.has_open_sends()
+    assert not steward.book.has_orders_in_flight()
 
 
 def test_busy_engine_gets_the_same_order_later():
@@ -165,10 +165,10 @@
     steward.fail(1.1, send, sent=True)
     (again,) = steward.tick(2.0)
     steward.answer(2.1, again, "busy")
-    assert steward.book.has_open_sends()
+    assert steward.book.has_orders_in_flight()
     (third,) = steward.tick(3.0)
     steward.answer(3.1, third, "accepted")
-    assert not steward.book.has_open_sends()
+    assert not steward.book.has_orders_in_flight()
 
 
 def test_intent_that_came_after_the_takeover_is_never_carried_out():
@@ -209,7 +209,7 @@
     (settled,) = steward.answer(7.2, query, "done", send.order_id)
     assert settled.state == "done"
     steward.run(7.3, steward.book.set_engines(7.3, []))
-    assert steward.book.unfinished() == set()
+    assert steward.book.busy_engines() == set()
 
 
 def test_engine_that_crashed_in_the_middle_forgot_its_order():
@@ -232,7 +232,7 @@
     store = Store()
     steward = Steward(store)
     steward.valid_until_s = 5.0
-    (write,) = steward.book.want(4.9, "e", DECODE)
+    (write,) = steward.book.set_goal(4.9, "e", DECODE)
     # The steward is paused here; the write's answer is handled after the lapse.
     assert steward.book.handle(5.0, store.apply(write)) == []
     assert steward.tick(6.0) == []
@@ -271,9 +271,9 @@
     assert steward.said == []
     assert steward.want(0.5, DECODE) == []
     assert steward.tick(2.0) == []
-    assert steward.book.waiting_for() == OLD
+    assert steward.book.blocking_terms() == OLD
     terms, query = steward.tick(2.1)
-    assert terms == TermsSettled((1,))
+    assert terms == TermsClosed((1,))
     assert isinstance(query, QueryOrder)
     settled, send = steward.answer(2.2, query, "none", "")
     assert (settled.order_id, settled.state) == ("a-1.1.1", "failed")
@@ -286,9 +286,9 @@
     assert steward.want(1.0, DECODE) == []
     assert steward.tick(10_000.0) == []
     steward.valid_until_s = 20_000.0
-    assert steward.book.confirm_dead(10_001.0, 7) == []
-    said = steward.run(10_002.0, steward.book.confirm_dead(10_002.0, 1))
-    assert said[0] == TermsSettled((1,))
+    assert steward.book.confirm_holder_dead(10_001.0, 7) == []
+    said = steward.run(10_002.0, steward.book.confirm_holder_dead(10_002.0, 1))
+    assert said[0] == TermsClosed((1,))
     assert said[1].goal == DECODE
     released = Steward(Store(), **options | {"previous": ()})
     assert len(released.want(0.1, DECODE)) == 1
@@ -305,14 +305,14 @@
             steward.answer(1.1, send, "running")
         steward.term = 3
         steward.book.on_lease_lost(2.0)
-        said = steward.run(2.0, steward.book.on_lease(2.0, 3, previous))
-        assert (TermsSettled((2,)) in said) == (not lost)
-        assert steward.book.waiting_for() == (previous if lost else ())
+        said = steward.run(2.0, steward.book.on_lease_gained(2.0, 3, previous))
+        assert (TermsClosed((2,)) in said) == (not lost)
+        assert steward.book.blocking_terms() == (previous if lost else ())
 
 
 def test_platform_outage_means_no_new_orders():
     steward = Steward(Store())
-    (write,) = steward.book.want(1.0, "e", DECODE)
+    (write,) = steward.book.set_goal(1.0, "e", DECODE)
     for now_s in (2.0, 4.0, 6.0):
         assert steward.book.handle(now_s, CallFailed(write.tag, sent=True)) == []
         (write,) = steward.book.tick(now_s + 1.0)
@@ -323,7 +323,7 @@
     for took_effect in (True, False):
         store = Store()
         steward = Steward(store)
-        (write,) = steward.book.want(1.0, "e", DECODE)
+        (write,) = steward.book.set_goal(1.0, "e", DECODE)
         if took_effect:
             store.apply(write)
         steward.book.handle(1.1, CallFailed(write.tag, sent=True))
@@ -338,7 +338,7 @@
         store = Store()
         steward = Steward(store)
         (send,) = steward.want(1.0, DECODE)
-        event = OrderAnswer("e", send.order_id, "done", send.tag)
+        event = OrderReply("e", send.order_id, "done", send.tag)
         (write,) = steward.book.handle(1.1, event)
         if took_effect:
             store.apply(write)
@@ -351,7 +351,7 @@
 def test_late_and_foreign_answers_are_ignored():
     steward = Steward(Store())
     (send,) = steward.want(1.0, DECODE)
-    late = OrderAnswer("e", send.order_id, "done", "send:e:other:1")
+    late = OrderReply("e", send.order_id, "done", "send:e:other:1")
     assert steward.book.handle(1.1, late) == []
     steward.answer(1.2, send, "running")
     assert steward.answer(1.3, send, "done") == []
--- a/libs/coordination/tests/test_orders_machine.py
+++ b/libs/coordination/tests/test_orders_machine.py
@@ -17,16 +17,16 @@
     Lease,
     LeaseGained,
     LeaseLost,
-    OrderAnswer,
-    OrderBook,
-    OrderFailed,
-    OrderSettled,
+    OrderCallFailed,
+    OrderController,
+    OrderEnded,
+    OrderReply,
     QueryOrder,
     ReadDone,
     ReadObject,
     SendOrder,
-    Stored,
-    TermsSettled,
+    StoredObject,
+    TermsClosed,
     WriteConflict,
     WriteDone,
     WriteObject,
@@ -74,7 +74,7 @@
             return ReadDone(call.tag, stored)
         if (stored.version if stored else 0) != call.if_version:
             return WriteConflict(call.tag, stored)
-        self.objects[place] = Stored(next(self.revisions), call.value)
+        self.objects[place] = StoredObject(next(self.revisions), call.value)
         return WriteDone(call.tag, self.objects[place].version)
 
 
@@ -137,7 +137,9 @@
                 lambda: f"{self.incarnation}:{next(nonces)}",
             )
             self.leases[name] = lease
-            self.books[name] = OrderBook(name, fencing, timeout_s, lease.authority)
+            self.books[name] = OrderController(
+                name, fencing, timeout_s, lease.term_validity
+            )
             self.books[name].set_engines(0.0, [name])
 
     def runs(self):
@@ -198,13 +200,13 @@
         now_s = self.local_s(process)
         for effect in effects:
             if isinstance(effect, LeaseGained):
-                more = book.on_lease(now_s, effect.term, effect.previous)
+                more = book.on_lease_gained(now_s, effect.term, effect.open_terms)
                 self.carry_out(process, book, deployment, more)
             elif isinstance(effect, LeaseLost):
                 book.on_lease_lost(now_s)
-            elif isinstance(effect, TermsSettled):
-                lease.settle_terms(effect.terms)
-            elif isinstance(effect, OrderSettled):
+            elif isinstance(effect, TermsClosed):
+                lease.close_terms(effect.terms)
+            elif isinstance(effect, OrderEnded):
                 self.settled.append(effect)
                 self.engines[deployment].acted = (book.term, "")
             else:
@@ -266,7 +268,7 @@
         if not self.is_order(call):
             return CallFailed(effect.tag, sent and isinstance(effect, WriteObject))
         order_id = getattr(effect, "order_id", "")
-        return OrderFailed(effect.engine, order_id, sent, effect.tag)
+        return OrderCallFailed(effect.engine, order_id, sent, effect.tag)
 
     def arrive(self, call):
         """Let what was written reach the engine, if its connection still stands."""
@@ -284,7 +286,7 @@
         else:
             order_id = engine.newest
             state = engine.states.get(order_id, "none")
-        call.answer = OrderAnswer(effect.engine, order_id, state, effect.tag)
+        call.answer = OrderReply(effect.engine, order_id, state, effect.tag)
 
     def tick(self, process):
         now_s = self.local_s(process)
@@ -310,7 +312,7 @@
     def steward_place(self, name):
         """Return the place of the running steward, or None."""
         for place, process in enumerate(self.processes):
-            held = process.leases[name].held(self.local_s(process))
+            held = process.leases[name].is_held(self.local_s(process))
             if process.runs() and held:
                 return place
         return None
@@ -318,7 +320,7 @@
     def order(self, place, name, goal):
         process = self.processes[place]
         book = process.books[name]
-        effects = book.want(self.local_s(process), name, goal)
+        effects = book.set_goal(self.local_s(process), name, goal)
         self.carry_out(process, book, name, effects)
 
     # Rules
@@ -403,7 +405,7 @@
         """The host releases its leases, which needs no order on its way, and ends."""
         process = self.processes[place]
         books = process.books.values()
-        if not process.runs() or any(book.has_open_sends() for book in books):
+        if not process.runs() or any(book.has_orders_in_flight() for book in books):
             return
         for name, lease in process.leases.items():
             effects = lease.release(self.local_s(process))
@@ -501,10 +503,10 @@
                 alive.add(call.process.incarnation)
         for process in self.processes:
             book = process.books[name]
-            for term in book.waiting_for():
+            for term in book.blocking_terms():
                 if term.incarnation in alive or not process.runs():
                     continue
-                effects = book.confirm_dead(self.local_s(process), term.term)
+                effects = book.confirm_holder_dead(self.local_s(process), term.term)
                 self.carry_out(process, book, name, effects)
 
     # What must hold
@@ -515,7 +517,7 @@
             believers = [
                 process.incarnation
                 for process in self.everyone
-                if process.alive and process.leases[name].held(self.local_s(process))
+                if process.alive and process.leases[name].is_held(self.local_s(process))
             ]
             assert len(believers) <= 1, f"{name}: {believers}"
 
@@ -532,7 +534,7 @@
         held_back = {
             term.incarnation
             for process in self.processes
-            for term in process.books["ignores unlimited"].waiting_for()
+            for term in process.books["ignores unlimited"].blocking_terms()
         }
         for place, process in enumerate(list(self.processes)):
             if process.incarnation in held_back:
@@ -558,13 +560,13 @@
         (steward,) = [
             process
             for process in self.processes
-            if process.leases[name].held(self.local_s(process))
+            if process.leases[name].is_held(self.local_s(process))
         ]
         book = steward.books[name]
-        assert book.waiting_for() == (), f"{name} waits for {book.waiting_for()}"
-        assert book.unfinished() == set(), f"{name} has an unfinished order"
+        assert book.blocking_terms() == (), f"{name} waits for {book.blocking_terms()}"
+        assert book.busy_engines() == set(), f"{name} has an unfinished order"
         before = len(self.settled)
-        effects = book.want(self.local_s(steward), name, {"adapter": "last"})
+        effects = book.set_goal(self.local_s(steward), name, {"adapter": "last"})
         self.carry_out(steward, book, name, effects)
         self.run_until_quiet()
         (settled,) = self.settled[before:]
--- a/libs/coordination/tests/test_sealing.py
+++ b/libs/coordination/tests/test_sealing.py
@@ -4,10 +4,10 @@
 
 from gypsumusher_coordination.effects import (
     CallFailed,
+    PeerJournalSealed,
     ReadDone,
     ReadObject,
-    Sealed,
-    Stored,
+    StoredObject,
     WriteConflict,
     WriteDone,
 )
@@ -38,7 +38,7 @@
     sealer = JournalSealer("home-1", "host-2")
     [read] = sealer.start(0.0)
     assert sealer.outcome(ABSENT) == "unknown"
-    stored = Stored(5, make_segment(0, {KEY: "f"}))
+    stored = StoredObject(5, make_segment(0, {KEY: "f"}))
     [write] = sealer.handle(0.1, ReadDone(read.tag, stored))
     assert write.if_version == 5 and write.value["sealed"] == "host-2"
     [read] = sealer.handle(0.2, WriteDone(write.tag, 6))
@@ -46,7 +46,7 @@
     [write] = sealer.handle(0.3, ReadDone(read.tag, None))
     assert write.if_version == 0 and write.value["sealed"] == "host-2"
     effects = sealer.handle(0.4, WriteDone(write.tag, 7))
-    assert effects == [Sealed("home-1", {KEY: "f"})]
+    assert effects == [PeerJournalSealed("home-1", {KEY: "f"})]
     outcomes = [sealer.outcome(key) for key in (KEY, ABSENT, FLAGGED)]
     assert outcomes == ["unknown", "not_run", "unknown"]
     with pytest.raises(ValueError, match="key"):
@@ -56,8 +56,10 @@
 def test_a_home_that_appends_during_the_seal_is_read_again():
     sealer = JournalSealer("home-1", "host-2")
     [read] = sealer.start(0.0)
-    [write] = sealer.handle(0.1, ReadDone(read.tag, Stored(5, make_segment(0, {}))))
-    newer = Stored(6, make_segment(0, {KEY: "f"}))
+    [write] = sealer.handle(
+        0.1, ReadDone(read.tag, StoredObject(5, make_segment(0, {})))
+    )
+    newer = StoredObject(6, make_segment(0, {KEY: "f"}))
     [write] = sealer.handle(0.2, WriteConflict(write.tag, newer))
     assert write.if_version == 6 and write.value["keys"] == {KEY: "f"}
 
@@ -70,13 +72,13 @@
     assert sealer.handle(0.2, WriteDone(write.tag, 9)) == []
     [read] = sealer.tick(5.0)
     assert isinstance(read, ReadObject)
-    event = ReadDone(read.tag, Stored(9, write.value))
-    assert sealer.handle(5.1, event) == [Sealed("home-1", {})]
+    event = ReadDone(read.tag, StoredObject(9, write.value))
+    assert sealer.handle(5.1, event) == [PeerJournalSealed("home-1", {})]
 
 
 def test_a_journal_that_its_home_sealed_ends_there():
     sealer = JournalSealer("home-1", "host-2")
     [read] = sealer.start(0.0)
-    stored = Stored(5, make_segment(0, {KEY: "f"}, "home"))
+    stored = StoredObject(5, make_segment(0, {KEY: "f"}, "home"))
     effects = sealer.handle(0.1, ReadDone(read.tag, stored))
-    assert effects == [Sealed("home-1", {KEY: "f"})]
+    assert effects == [PeerJournalSealed("home-1", {KEY: "f"})]
--- a/libs/daemon/gypsumusher_daemon/cell.py
+++ b/libs/daemon/gypsumusher_daemon/cell.py
@@ -103,7 +103,7 @@
         policy = MembershipPolicy(
             probe_interval_s=interval_s,
             probe_timeout_s=2 * self._settings["peers.timeout_s"],
-            news_interval_s=min(interval_s, NEWS_INTERVAL_S),
+            update_interval_s=min(interval_s, NEWS_INTERVAL_S),
         )
         self.membership = Membership(name, incarnation, policy)
         self._server = PeerServer(
@@ -129,7 +129,7 @@
         """Return live, suspect or leaving for a host; others' hosts count as live."""
         if name not in self._links:
             return LIVE
-        return self.membership.state(name)
+        return self.membership.host_state(name)
 
     def set_leaving(self):
         """Tell the other hosts from now on that this one is leaving."""
@@ -281,7 +281,7 @@
             return await self._parts.answer(peer.host, message)
         answer = {}
         if "member" in message:
-            answer["member"] = self.membership.on_gossip(
+            answer["member"] = self.membership.on_probe(
                 self._clock(), peer.host, message["member"]
             )
         self._hear(peer.host, message, self._clock())
--- a/libs/daemon/gypsumusher_daemon/configuration.py
+++ b/libs/daemon/gypsumusher_daemon/configuration.py
@@ -7,9 +7,9 @@
 from returns.result import Success
 
 from gypsumusher_coordination import (
-    Adopted,
+    ConfigAdopted,
     ConfigReplica,
-    NeedSection,
+    FetchSection,
     PatchAccepted,
     PatchAttempt,
     PatchInvalid,
@@ -101,7 +101,7 @@
         head : dict
             The head object's value.
         """
-        self._drive(self.replica.offer(self._clock(), head))
+        self._drive(self.replica.on_head(self._clock(), head))
 
     def section(self, section_hash):
         """Return a section that this host holds, or None."""
@@ -141,10 +141,10 @@
     def _drive(self, effects):
         """Carry out what the replica asks for."""
         for effect in effects:
-            if isinstance(effect, NeedSection):
+            if isinstance(effect, FetchSection):
                 self._fetch(effect.hash)
                 continue
-            if isinstance(effect, Adopted):
+            if isinstance(effect, ConfigAdopted):
                 self._log("info", "config_adopted", number=effect.number)
                 self._on_adopted(effect.number, effect.document)
 
--- a/libs/daemon/gypsumusher_daemon/effects.py
+++ b/libs/daemon/gypsumusher_daemon/effects.py
@@ -9,7 +9,7 @@
     DeleteObject,
     ReadDone,
     ReadObject,
-    Stored,
+    StoredObject,
     WriteConflict,
     WriteDone,
     WriteObject,
@@ -82,7 +82,7 @@
             result = await client.read(effect.kind, effect.name, urgent=self._urgent)
             if isinstance(result, Success):
                 stored = result.unwrap()
-                return ReadDone(effect.tag, stored and Stored(*stored))
+                return ReadDone(effect.tag, stored and StoredObject(*stored))
             return CallFailed(effect.tag, False)
         if isinstance(effect, WriteObject):
             result = await client.write(
@@ -100,5 +100,7 @@
             return WriteDone(effect.tag, result.unwrap())
         error = result.failure()
         if error.kind == "conflict":
-            return WriteConflict(effect.tag, error.stored and Stored(*error.stored))
+            return WriteConflict(
+                effect.tag, error.stored and StoredObject(*error.stored)
+            )
         return CallFailed(effect.tag, error.sent)
--- a/libs/daemon/gypsumusher_daemon/endpoints.py
+++ b/libs/daemon/gypsumusher_daemon/endpoints.py
@@ -2,7 +2,7 @@
 
 from typing import NamedTuple
 
-from gypsumusher_coordination import LIST_SOURCE, OWN_SOURCE
+from gypsumusher_coordination import ENDPOINT_SOURCE, PLATFORM_SOURCE
 from gypsumusher_policy import Endpoint
 
 __all__ = ["EndpointEntry", "EndpointTable"]
@@ -99,7 +99,9 @@
         self.entries = entries
         now_s = self._clock()
         for name, entry in entries.items():
-            self._membership.observe(now_s, name, LIST_SOURCE, entry.listed_leaving)
+            self._membership.on_source_report(
+                now_s, name, PLATFORM_SOURCE, entry.listed_leaving
+            )
         self.publish()
 
     def set_drained(self, document):
@@ -134,7 +136,9 @@
         changed |= self.roles.get(name) != report.role
         self.silent_polls[name] = 0
         self.draining[name] = report.draining
-        self._membership.observe(self._clock(), name, OWN_SOURCE, report.draining)
+        self._membership.on_source_report(
+            self._clock(), name, ENDPOINT_SOURCE, report.draining
+        )
         self.roles[name] = report.role
         self.models[name] = models
         self.reports[name] = report
@@ -147,7 +151,7 @@
     def on_draining(self, name):
         """Note that an engine refused work because it is draining."""
         self.draining[name] = True
-        self._membership.observe(self._clock(), name, OWN_SOURCE, True)
+        self._membership.on_source_report(self._clock(), name, ENDPOINT_SOURCE, True)
         self.publish()
 
     def on_silence(self, name):
@@ -270,4 +274,4 @@
             self.crashed_s,
         ):
             table.pop(name, None)
-        self._membership.forget_endpoints({name})
+        self._membership.remove_endpoints({name})
--- a/libs/daemon/gypsumusher_daemon/journals.py
+++ b/libs/daemon/gypsumusher_daemon/journals.py
@@ -5,14 +5,14 @@
 
 from gypsumusher_coordination import (
     CallerKeyClaim,
-    ClaimElsewhere,
     ClaimGranted,
+    ClaimJournal,
+    ClaimOwnedElsewhere,
     ClaimRefused,
-    HomeJournal,
     JournalPolicy,
-    JournalSealed,
     JournalSealer,
-    Sealed,
+    OwnJournalSealed,
+    PeerJournalSealed,
 )
 from gypsumusher_daemon.effects import MachineRunner
 from gypsumusher_daemon.key_signatures import is_genuine, sign_parts
@@ -150,7 +150,7 @@
 
         Returns
         -------
-        ClaimGranted, ClaimRefused or ClaimElsewhere
+        ClaimGranted, ClaimRefused or ClaimOwnedElsewhere
         """
         machine = CallerKeyClaim(
             key, home or self.incarnation, fingerprint, secrets.token_hex(8)
@@ -209,7 +209,7 @@
 
     def _open(self, incarnation):
         """Begin the journal of an incarnation."""
-        machine = HomeJournal(incarnation, secrets.token_hex(8), self._policy)
+        machine = ClaimJournal(incarnation, secrets.token_hex(8), self._policy)
         self._runners[incarnation] = MachineRunner(
             machine, self._client, self._clock, self._on_effect
         )
@@ -221,7 +221,7 @@
             if future is not None and not future.done():
                 future.set_result(effect)
             return
-        if isinstance(effect, JournalSealed):
+        if isinstance(effect, OwnJournalSealed):
             self._sealed.set()
 
     def _start_sealer(self, incarnation):
@@ -233,7 +233,7 @@
         done = asyncio.Event()
 
         def on_effect(effect):
-            if isinstance(effect, Sealed):
+            if isinstance(effect, PeerJournalSealed):
                 self._log("info", "journal_sealed", incarnation=incarnation)
                 done.set()
 
@@ -265,7 +265,7 @@
         for runner, done in list(self._sealers.values()):
             if not done.is_set():
                 runner.tick()
-        if self.journal.is_sealed_out:
+        if self.journal.is_fenced:
             # A survivor took this host for dead and sealed its journal. Its keys can
             # be granted no more; a new incarnation's keys can.
             self._log("warning", "journal_sealed_out", incarnation=self.incarnation)
@@ -279,14 +279,14 @@
     flush_s = settings["journal.flush_s"]
     return JournalPolicy(
         writes_per_s=1.0 / flush_s if flush_s else 1000.0,
-        claim_wait_s=settings["journal.wait_s"],
+        claim_timeout_s=settings["journal.wait_s"],
         retention_s=settings["journal.retention_s"],
-        backoff_limit_s=BACKOFF_LIMIT_S,
+        backoff_max_s=BACKOFF_LIMIT_S,
     )
 
 
 def _settle(future, effect):
     """Give a claim's outcome to whoever waits for it."""
-    if isinstance(effect, ClaimGranted | ClaimRefused | ClaimElsewhere):
+    if isinstance(effect, ClaimGranted | ClaimRefused | ClaimOwnedElsewhere):
         if not future.done():
             future.set_result(effect)
--- a/libs/daemon/gypsumusher_daemon/keyed_flow.py
+++ b/libs/daemon/gypsumusher_daemon/keyed_flow.py
@@ -6,8 +6,8 @@
 import aiohttp
 
 from gypsumusher_coordination import (
-    ClaimElsewhere,
     ClaimGranted,
+    ClaimOwnedElsewhere,
     parse_key,
 )
 from gypsumusher_coordination.claims import WITHDRAWN
@@ -163,18 +163,18 @@
         finally:
             del self._claiming[key]
             claiming.set_result(None)
-        if not isinstance(claim, ClaimElsewhere):
+        if not isinstance(claim, ClaimOwnedElsewhere):
             return refusal_of_claim(claim)
-        if claim.home == WITHDRAWN:
+        if claim.owner == WITHDRAWN:
             return Refusal(
                 "key_not_run",
                 "this key was withdrawn and never runs; use a new key",
                 step="claim",
             )
-        if self._journals.owns(claim.home) or FORWARDED_HEADER in request.headers:
+        if self._journals.owns(claim.owner) or FORWARDED_HEADER in request.headers:
             # Claimed here, and the memory of it is gone.
             return _unknown_outcome(self._host)
-        return await self._send_home(key, claim.home, request)
+        return await self._send_home(key, claim.owner, request)
 
     async def _send_home(self, key, incarnation, request):
         """Pass a request on to its home, or say what is known when that is gone."""
@@ -280,12 +280,12 @@
         claim = await self._journals.claim_caller_key(key, WITHDRAWN, WITHDRAWN)
         if isinstance(claim, ClaimGranted):
             return _outcome(key, "not_run", "it was not claimed and is withdrawn now")
-        if isinstance(claim, ClaimElsewhere) and claim.home == WITHDRAWN:
+        if isinstance(claim, ClaimOwnedElsewhere) and claim.owner == WITHDRAWN:
             return _outcome(key, "not_run", "it was withdrawn before it was claimed")
-        if not isinstance(claim, ClaimElsewhere):
+        if not isinstance(claim, ClaimOwnedElsewhere):
             return _outcome(key, "unknown", "the platform gave no answer; ask again")
-        record = self._directory.find_incarnation(claim.home)
-        if record is None or self._journals.owns(claim.home):
+        record = self._directory.find_incarnation(claim.owner)
+        if record is None or self._journals.owns(claim.owner):
             return _outcome(key, "unknown", "its home is gone")
         answer = await self._ask_home(record.callers, key)
         return answer or _outcome(key, "unknown", "its home is gone")
--- a/libs/daemon/gypsumusher_daemon/order_sender.py
+++ b/libs/daemon/gypsumusher_daemon/order_sender.py
@@ -4,7 +4,7 @@
 
 import aiohttp
 
-from gypsumusher_coordination import OrderAnswer, OrderFailed
+from gypsumusher_coordination import OrderCallFailed, OrderReply
 from gypsumusher_objects import forbid_repeats, read_limited
 
 __all__ = ["OrderSender"]
@@ -92,9 +92,9 @@
             aiohttp.ClientConnectorError,
             aiohttp.ConnectionTimeoutError,
         ):
-            return OrderFailed(order.engine, order.order_id, False, order.tag)
+            return OrderCallFailed(order.engine, order.order_id, False, order.tag)
         except (aiohttp.ClientError, TimeoutError, OSError, ValueError):
-            return OrderFailed(order.engine, order.order_id, True, order.tag)
+            return OrderCallFailed(order.engine, order.order_id, True, order.tag)
 
     async def query(self, address, query):
         """Ask an engine for its newest order; return the event that answers.
@@ -112,10 +112,10 @@
             ) as response:
                 answer = await _read_json(response)
                 if response.status != 200:
-                    return OrderFailed(query.engine, "", True, query.tag)
+                    return OrderCallFailed(query.engine, "", True, query.tag)
                 return _order_state(query, answer)
         except (aiohttp.ClientError, TimeoutError, OSError, ValueError):
-            return OrderFailed(query.engine, "", False, query.tag)
+            return OrderCallFailed(query.engine, "", False, query.tag)
 
     async def _check_lease(self, session, context, parameters):
         """Refuse to write on a connection that came after the lease's end."""
@@ -139,11 +139,11 @@
         return _order_state(order, answer)
     code = answer.get("error", {}).get("code")
     if status == 409 and code in REFUSALS:
-        return OrderAnswer(order.engine, order.order_id, code, order.tag)
+        return OrderReply(order.engine, order.order_id, code, order.tag)
     if status in NEVER_TAKEN_STATUSES:
         # The engine will never take this order, whoever sends it again.
-        return OrderAnswer(order.engine, order.order_id, "failed", order.tag, str(code))
-    return OrderFailed(order.engine, order.order_id, True, order.tag)
+        return OrderReply(order.engine, order.order_id, "failed", order.tag, str(code))
+    return OrderCallFailed(order.engine, order.order_id, True, order.tag)
 
 
 def _order_state(effect, answer):
@@ -153,4 +153,4 @@
         raise ValueError(f"unknown state of an order: {state!r:.80}")
     order_id = answer.get("order_id") or ""
     detail = str(answer.get("detail") or "")[:200]
-    return OrderAnswer(effect.engine, order_id, state, effect.tag, detail)
+    return OrderReply(effect.engine, order_id, state, effect.tag, detail)
--- a/libs/daemon/gypsumusher_daemon/readiness.py
+++ b/libs/daemon/gypsumusher_daemon/readiness.py
@@ -1,6 +1,6 @@
 """Whether this host may take new requests, and if not, why."""
 
-from gypsumusher_coordination import heard_s, may_serve
+from gypsumusher_coordination import last_contact_s, may_serve
 from gypsumusher_daemon.cell import LIVE
 from gypsumusher_daemon.refusals import Refusal
 
@@ -72,7 +72,7 @@
         """
         settings = self._host.document["hosts"]
         now_s = self._host.clock()
-        last_s = heard_s(
+        last_s = last_contact_s(
             now_s,
             self._host.configuration.heard_platform_s,
             self._host.cell.heard_s,
--- a/libs/daemon/gypsumusher_daemon/stewards.py
+++ b/libs/daemon/gypsumusher_daemon/stewards.py
@@ -7,11 +7,11 @@
     Lease,
     LeaseGained,
     LeaseLost,
-    OrderBook,
-    OrderSettled,
+    OrderController,
+    OrderEnded,
     QueryOrder,
     SendOrder,
-    TermsSettled,
+    TermsClosed,
 )
 from gypsumusher_daemon.cell_members import cell_of
 from gypsumusher_daemon.dispatch import deployment_policy
@@ -90,16 +90,16 @@
             self._task = None
         end_s = self._host.clock() + RELEASE_TIMEOUT_S
         while self._host.clock() < end_s:
-            if not any(s.book.has_open_sends() for s in self._held.values()):
+            if not any(s.book.has_orders_in_flight() for s in self._held.values()):
                 break
             await asyncio.sleep(self._tick_s())
         for name, stewardship in self._held.items():
-            if stewardship.book.has_open_sends():
+            if stewardship.book.has_orders_in_flight():
                 continue
             runner = self._runners[name][0]
             runner.drive(stewardship.lease.release(self._host.clock()))
         while self._host.clock() < end_s:
-            if all(s.lease.released for s in self._held.values()):
+            if all(s.lease.is_released for s in self._held.values()):
                 return
             await asyncio.sleep(self._tick_s())
             for lease_runner, _ in self._runners.values():
@@ -124,15 +124,15 @@
         now_s = self._host.clock()
         rows = []
         for name, stewardship in sorted(self._held.items()):
-            if not stewardship.lease.held(now_s):
+            if not stewardship.lease.is_held(now_s):
                 continue
-            waiting = [term.holder for term in stewardship.book.waiting_for()]
+            waiting = [term.holder for term in stewardship.book.blocking_terms()]
             rows.append(
                 {
                     "deployment": name,
                     "holder": self._host.name,
                     "term": stewardship.lease.term,
-                    "unfinished": sorted(stewardship.book.unfinished()),
+                    "unfinished": sorted(stewardship.book.busy_engines()),
                     "waiting_for": waiting,
                 }
             )
@@ -143,8 +143,8 @@
         stewardship = self._held.get(deployment)
         if stewardship is None:
             return False
-        known = any(t.term == term for t in stewardship.book.waiting_for())
-        effects = stewardship.book.confirm_dead(self._host.clock(), term)
+        known = any(t.term == term for t in stewardship.book.blocking_terms())
+        effects = stewardship.book.confirm_holder_dead(self._host.clock(), term)
         self._runners[deployment][1].drive(effects)
         return known
 
@@ -179,10 +179,10 @@
         lease_runner, book_runner = self._runners[name]
         lease_runner.tick()
         now_s = self._host.clock()
-        if not stewardship.lease.held(now_s):
+        if not stewardship.lease.is_held(now_s):
             return
         book = stewardship.book
-        book.set_policy(section["fencing"], section["order_timeout_s"])
+        book.set_fencing(section["fencing"], section["order_timeout_s"])
         engines = [e.name for e in self._host.endpoints.group("engine", name)]
         book_runner.drive(book.set_engines(now_s, engines))
         if now_s - stewardship.planned_s >= self._host.settings["stewards.plan_s"]:
@@ -199,8 +199,8 @@
             host.settings["stewards.lease_s"],
             lambda: secrets.token_hex(8),
         )
-        book = OrderBook(
-            name, section["fencing"], section["order_timeout_s"], lease.authority
+        book = OrderController(
+            name, section["fencing"], section["order_timeout_s"], lease.term_validity
         )
         stewardship = self._held[name] = _Stewardship(lease, book)
 
@@ -222,7 +222,9 @@
         now_s = host.clock()
         if isinstance(effect, LeaseGained):
             host.log("info", "lease_gained", deployment=name, term=effect.term)
-            effects = stewardship.book.on_lease(now_s, effect.term, effect.previous)
+            effects = stewardship.book.on_lease_gained(
+                now_s, effect.term, effect.open_terms
+            )
             self._runners[name][1].drive(effects)
             return
         if isinstance(effect, LeaseLost):
@@ -231,10 +233,10 @@
 
     def _on_book(self, name, stewardship, effect):
         """Carry out what the order book decided."""
-        if isinstance(effect, TermsSettled):
-            stewardship.lease.settle_terms(effect.terms)
+        if isinstance(effect, TermsClosed):
+            stewardship.lease.close_terms(effect.terms)
             return
-        if isinstance(effect, OrderSettled):
+        if isinstance(effect, OrderEnded):
             self._host.log(
                 "info",
                 "order_settled",
@@ -286,7 +288,7 @@
         if not roles:
             return
         demands = self._fresh_demands(name)
-        busy = stewardship.book.unfinished()
+        busy = stewardship.book.busy_engines()
         now_s = host.clock()
         target = (section["model"], str(section["version"]))
         loads = stewardship.rollout.plan(
@@ -302,7 +304,7 @@
 
     def _want(self, name, stewardship, engine, goal):
         """Ask the order book for a goal."""
-        effects = stewardship.book.want(self._host.clock(), engine, goal)
+        effects = stewardship.book.set_goal(self._host.clock(), engine, goal)
         self._runners[name][1].drive(effects)
 
     def _engines(self, name):
--- a/libs/daemon/tests/test_order_sender.py
+++ b/libs/daemon/tests/test_order_sender.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from gypsumusher_coordination import OrderAnswer, OrderFailed, SendOrder
+from gypsumusher_coordination import OrderCallFailed, OrderReply, SendOrder
 from gypsumusher_daemon.order_sender import ANSWER_BYTES_MAX, OrderSender
 
 HEAD = b"HTTP/1.1 %b\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n"
@@ -41,10 +41,10 @@
     # order for one of unknown outcome and had to ask.
     body = json.dumps({"order_id": "o-1", "state": "accepted"}).encode()
     event = asyncio.run(answer_of(b"202 Accepted", body, cut_at, 0.05))
-    assert event == OrderAnswer("e-1", "o-1", "accepted", "t", "")
+    assert event == OrderReply("e-1", "o-1", "accepted", "t", "")
 
 
 def test_an_answer_without_bounds_is_not_kept():
     body = b'{"state": "' + b"x" * ANSWER_BYTES_MAX + b'"}'
     event = asyncio.run(answer_of(b"202 Accepted", body, 100, 0.0))
-    assert event == OrderFailed("e-1", "o-1", True, "t")
+    assert event == OrderCallFailed("e-1", "o-1", True, "t")
--- a/libs/entry/gypsumusher_entry/stage_lease.py
+++ b/libs/entry/gypsumusher_entry/stage_lease.py
@@ -8,7 +8,7 @@
     CallFailed,
     ReadDone,
     ReadObject,
-    Stored,
+    StoredObject,
     WriteConflict,
     WriteDone,
     WriteObject,
@@ -65,23 +65,23 @@
 
     def told(self):
         """Return what this host knows of the lease, for its peers; None for nothing."""
-        known = self._lease.known()
+        known = self._lease.last_stored()
         return None if known is None else list(known)
 
     def on_told(self, told):
         """Take in what a peer knows of the lease."""
         version, value = told
         if type(version) is int and isinstance(value, dict) and _FIELDS <= value.keys():
-            self._lease.observe(self._clock(), Stored(version, value))
+            self._lease.on_stored_received(self._clock(), StoredObject(version, value))
 
     def is_held_for(self, reserve_s):
         """Say whether this host may give orders for so long from now, in seconds."""
-        return self._lease.held(self._clock() + reserve_s)
+        return self._lease.is_held(self._clock() + reserve_s)
 
     async def _run(self):
         while True:
             await self._context.next_tick(TICK_S)
-            is_held = self._lease.held(self._clock())
+            is_held = self._lease.is_held(self._clock())
             if not (is_held or self._context.gives_orders()):
                 continue
             await self._perform(self._lease.tick(self._clock()))
@@ -139,4 +139,4 @@
 
 
 def _stored(item):
-    return Stored(item.revision, item.content)
+    return StoredObject(item.revision, item.content)
