--- a/libs/entry/gypsumusher_entry/context.py
+++ b/libs/entry/gypsumusher_entry/context.py
@@ -11,17 +11,17 @@
 from gypsumusher_ports import DecodeError
 from gypsumusher_routing import (
     ALL_ON,
+    CostModel,
     EndpointTable,
-    Fleet,
-    HostNews,
+    EnginePool,
+    HostStatus,
     HostTable,
-    Learnt,
-    RetryShare,
+    RetryBudget,
     RouteTable,
-    active_count,
-    capacity_of,
-    choose_active,
+    active_host_count,
+    choose_active_hosts,
     choose_watchers,
+    host_capacity,
 )
 
 __all__ = ["Context"]
@@ -132,10 +132,10 @@
             After how long the next one comes at the latest, in seconds.
         """
         settings = self.settings
-        return HostNews(
+        return HostStatus(
             name=settings.name,
             started_ms=self.started_ms,
-            beat=beat,
+            sequence=beat,
             ip=settings.ip,
             zone=settings.zone,
             callers_address=settings.callers_address,
@@ -143,11 +143,11 @@
             is_ready=self.is_ready,
             configuration_version=self.configuration_version,
             endpoints_revision=self.endpoints.revision,
-            capacity=capacity_of(settings.cores, settings.link_mbps),
+            capacity=host_capacity(settings.cores, settings.link_mbps),
             sees_store=self.sees_store,
-            store_seen_s=self.store_seen_s,
+            store_reachable_s=self.store_seen_s,
             period_s=period_s,
-            hosts_recorded=self.hosts.recorded(),
+            hosts_recorded=self.hosts.recorded_count(),
         )
 
     def active_hosts(self):
@@ -158,7 +158,7 @@
             if self.is_ready:
                 hosts.append(self.own_news())
             # One more than those that it knows: itself.
-            self._active = choose_active(hosts, len(self.hosts.addresses()) + 1)
+            self._active = choose_active_hosts(hosts, len(self.hosts.addresses()) + 1)
             self._active_at_s = now_s
         return self._active
 
@@ -194,7 +194,7 @@
 
         Those that this host doesn't hear may be at work all the same.
         """
-        expected = active_count(self.hosts.existing())
+        expected = active_host_count(self.hosts.existing_count())
         return max(1, len(self.active_hosts()), expected)
 
     def adopt(self, configuration, stored, source):
@@ -229,7 +229,7 @@
         for service in configuration.services.values():
             if service.engine is not None:
                 memory[service.name] = service.engine.kv_tokens
-        self.endpoints.set_memory(memory)
+        self.endpoints.set_cache_capacity(memory)
         for listener in self.configuration_listeners:
             listener(configuration)
         self.log(
@@ -251,7 +251,7 @@
         share = self._retry_shares.get(service)
         if share is None:
             bounds = self.settings.bounds
-            share = self._retry_shares[service] = RetryShare(
+            share = self._retry_shares[service] = RetryBudget(
                 bounds.retry_ratio,
                 bounds.retry_slack,
                 bounds.retry_window_s,
@@ -262,7 +262,7 @@
     def learnt(self, service):
         """Return what the engines of a service have taught this host."""
         if service not in self._learnt:
-            self._learnt[service] = Learnt(self.policy)
+            self._learnt[service] = CostModel(self.policy)
         return self._learnt[service]
 
     def fleet(self, service, limits, states=None):
@@ -281,7 +281,7 @@
             states = self.endpoints.of_service(service)
         learnt, zone = self.learnt(service), self.settings.zone
         connections = self.connections_max(service)
-        return Fleet(states, limits, learnt, zone, connections, self.policy)
+        return EnginePool(states, limits, learnt, zone, connections, self.policy)
 
     def take_retry(self, service):
         """Use one retry of a service, unless this host's share is spent.
@@ -290,11 +290,13 @@
         -------
         RetryDecision
         """
-        return self.retry_share(service).take(self.clock(), self.hosts.existing())
+        return self.retry_share(service).take(self.clock(), self.hosts.existing_count())
 
     def note_request(self, service):
         """Count a request of a service, for the retries that it allows."""
-        self.retry_share(service).on_first(self.clock(), self.hosts.existing())
+        self.retry_share(service).on_first_send(
+            self.clock(), self.hosts.existing_count()
+        )
 
     def connections_max(self, service):
         """Return how many connections this host may have to one endpoint."""
@@ -334,9 +336,9 @@
         chain = [[part.part_id, part.tokens] for part in parts]
         shared = chain[:-1]
         if wait_s:
-            state.prefixes.note_coming(shared, self.clock() + wait_s)
+            state.prefixes.add_pending(shared, self.clock() + wait_s)
         else:
-            state.prefixes.note_chain(chain)
+            state.prefixes.add_chain(chain)
         if shared:
             placement = [state.record.endpoint_id, shared, round(wait_s, 2)]
             self._placements.append(placement)
--- a/libs/entry/gypsumusher_entry/exchange.py
+++ b/libs/entry/gypsumusher_entry/exchange.py
@@ -10,8 +10,8 @@
 from gypsumusher_ports import STREAM, Refusal
 from gypsumusher_routing import (
     FirstEventLimits,
-    SendAccount,
-    Wish,
+    RoutingRequest,
+    SendCounter,
     abandoned_after_s,
     first_event_limit_s,
     pick_service,
@@ -59,7 +59,7 @@
         self.ends_s = self.arrived_s
         self.first_s = None
         self.possible_runs = 0
-        self.account = SendAccount()
+        self.account = SendCounter()
         self.events = 0
         self.longest_pause_s = 0.0
         self.ran_at = None
@@ -96,7 +96,7 @@
     @property
     def wish(self):
         """What is asked of the engines, and until when."""
-        return Wish(
+        return RoutingRequest(
             self.request.generation,
             self.route.objective_s,
             self.objective_left_s,
@@ -107,7 +107,7 @@
     @property
     def event_tokens(self):
         """How many tokens of callers' estimates an event of this route stands for."""
-        return self.context.learnt(self.service).event_tokens(self.route.name)
+        return self.context.learnt(self.service).tokens_per_event(self.route.name)
 
     @property
     def estimated_tokens(self):
@@ -118,7 +118,7 @@
     @property
     def expected_events(self):
         """Events that the answer is expected to have; None when that isn't known."""
-        return self.event_tokens.events(self.estimated_tokens)
+        return self.event_tokens.expected_events(self.estimated_tokens)
 
     @property
     def patience_s(self):
@@ -146,8 +146,8 @@
             "info",
             "retry_taken" if decision.is_allowed else "retry_withheld",
             service=self.service,
-            left=round(decision.left, 2),
-            most=round(decision.most, 2),
+            left=round(decision.retries_left, 2),
+            most=round(decision.max_retries, 2),
             hosts=decision.hosts,
         )
         return decision.is_allowed
--- a/libs/entry/gypsumusher_entry/following.py
+++ b/libs/entry/gypsumusher_entry/following.py
@@ -210,21 +210,26 @@
         their entries could come back.
         """
         context = self._context
-        return context.hosts.saw_store_since(context.clock(), self._failing_since_s)
+        return context.hosts.peer_saw_store_since(
+            context.clock(), self._failing_since_s
+        )
 
     async def _drop_missing(self):
         """Drop endpoints whose entries have not come back."""
         context = self._context
         while True:
             await context.next_tick(DROP_S)
-            if context.endpoints.is_in_grace(context.clock()) and self._failed_alone():
-                context.endpoints.end_grace()
+            if (
+                context.endpoints.is_in_grace_period(context.clock())
+                and self._failed_alone()
+            ):
+                context.endpoints.end_grace_period()
             for endpoint_id in context.endpoints.drop_missing(context.clock()):
                 context.log("info", "endpoint_dropped", endpoint=endpoint_id)
             context.pool.drop_idle()
             for state in context.endpoints.states.values():
-                state.prefixes.drop_coming(context.clock())
-                state.drop_stage_news(context.clock())
+                state.prefixes.drop_expired(context.clock())
+                state.expire_ordered_stage(context.clock())
 
 
 def take_configuration(context, stored, source):
@@ -254,7 +259,7 @@
         record = _decode_entry(context, stored)
         if record is not None:
             records.append(record)
-    changed = context.endpoints.on_listing(context.clock(), records, listing.revision)
+    changed = context.endpoints.on_full_list(context.clock(), records, listing.revision)
     for record in records:
         if record.endpoint_id in changed:
             changed.remove(record.endpoint_id)
--- a/libs/entry/gypsumusher_entry/gossip.py
+++ b/libs/entry/gypsumusher_entry/gossip.py
@@ -10,7 +10,7 @@
 
 import msgpack
 
-from gypsumusher_routing import LANES, HostNews, LinkShare, Load, StageNews
+from gypsumusher_routing import LANES, GossipRateLimiter, HostStatus, Load, OrderedStage
 
 __all__ = ["Gossip"]
 
@@ -57,7 +57,7 @@
         self._told = None
         self._told_active_s = 0.0
         self._told_all_s = 0.0
-        self._link_share = LinkShare(context.settings.link_mbps)
+        self._link_share = GossipRateLimiter(context.settings.link_mbps)
 
     async def start(self):
         """Open the socket and begin to tell."""
@@ -112,7 +112,7 @@
                 self._tell(now_s, state, is_for_all=True)
             elif now_s - self._told_active_s >= REST_S:
                 self._tell(now_s, state, is_for_all=False)
-            elif state != self._told and self._link_share.is_free(now_s):
+            elif state != self._told and self._link_share.may_send(now_s):
                 self._tell(now_s, state, is_for_all=False)
 
     def _told_lease(self):
@@ -125,7 +125,7 @@
         now_s = self._context.clock()
         if now_s - self._told_active_s < URGENT_S or not self._context.is_active():
             return
-        if self._link_share.is_free(now_s):
+        if self._link_share.may_send(now_s):
             self._tell(now_s, self._state(now_s), is_for_all=False)
 
     def _is_news(self, state):
@@ -138,10 +138,10 @@
         loads = {}
         shares_loads = context.policy.shared_loads
         for endpoint_id, state in context.endpoints.states.items():
-            penalty = round(state.health.own(now_s), 1)
+            penalty = round(state.health.own_penalty(now_s), 1)
             if state.own_running or penalty:
                 load = state.own_load() if shares_loads else Load(0)
-                lane_ms = [round(work_s * 1000) for work_s in load.lane_s]
+                lane_ms = [round(work_s * 1000) for work_s in load.prefill_s_by_lane]
                 loads[endpoint_id] = (*load[:2], lane_ms, penalty)
         return (
             context.is_ready,
@@ -206,7 +206,7 @@
         context = self._context
         now_s = context.clock()
         peer = message.news.name
-        if not context.hosts.on_news(now_s, message.news):
+        if not context.hosts.on_status(now_s, message.news):
             return
         if message.lease is not None and context.stage_lease is not None:
             context.stage_lease.on_told(message.lease)
@@ -214,16 +214,16 @@
         for endpoint_id, started_ms, stage, is_switching in message.stages:
             state = context.endpoints.states.get(endpoint_id)
             if state is not None and state.record.started_ms == started_ms:
-                told = StageNews(stage, is_switching)
-                state.on_stage_news(now_s, told, STAGE_NEWS_KEPT_S)
+                told = OrderedStage(stage, is_switching)
+                state.on_stage_ordered(now_s, told, STAGE_NEWS_KEPT_S)
         for endpoint_id, chain, wait_s in message.placements:
             state = context.endpoints.states.get(endpoint_id)
             if state is None:
                 continue
             if wait_s:
-                state.prefixes.note_coming(chain, now_s + wait_s)
+                state.prefixes.add_pending(chain, now_s + wait_s)
             else:
-                state.prefixes.note_chain(chain)
+                state.prefixes.add_chain(chain)
 
 
 class _Message(NamedTuple):
@@ -231,7 +231,7 @@
 
     Attributes
     ----------
-    news : HostNews
+    news : HostStatus
         The host itself.
     stages : list
         Engines that it has ordered to change their stage: id, start of their life,
@@ -244,7 +244,7 @@
         What it knows of the lease for orders, from time to time.
     """
 
-    news: HostNews
+    news: HostStatus
     stages: list
     loads: dict
     placements: list
@@ -264,5 +264,5 @@
         lane_s = tuple(work_ms / 1000.0 for work_ms in lane_ms)
         load = Load(running, readings, lane_s)
         decoded[endpoint_id] = (load, penalty)
-    news = HostNews(*news)
+    news = HostStatus(*news)
     return _Message(news, stages, decoded, placements, lease)
--- a/libs/entry/gypsumusher_entry/kept_parts.py
+++ b/libs/entry/gypsumusher_entry/kept_parts.py
@@ -75,5 +75,5 @@
                 error=str(error) or "timeout",
             )
             return
-        state.prefixes.note(parts)
+        state.prefixes.add_parts(parts)
         context.log("info", "kept_parts", endpoint=record.endpoint_id, parts=len(parts))
--- a/libs/entry/gypsumusher_entry/lag_watch.py
+++ b/libs/entry/gypsumusher_entry/lag_watch.py
@@ -1,6 +1,6 @@
 """Watches whether this host goes by older news than its peers, and says so."""
 
-from gypsumusher_routing import NewsLag
+from gypsumusher_routing import VersionLag
 
 __all__ = ["CONFIGURATION", "ENDPOINTS", "LagWatch"]
 
@@ -24,7 +24,7 @@
 
     def __init__(self, context):
         self._context = context
-        self._lags = {CONFIGURATION: NewsLag(), ENDPOINTS: NewsLag()}
+        self._lags = {CONFIGURATION: VersionLag(), ENDPOINTS: VersionLag()}
         self._overdue = set()
 
     async def start(self):
@@ -44,20 +44,20 @@
         """Compare what is known here with what the peers say."""
         context = self._context
         now_s, bounds = context.clock(), context.settings.bounds
-        version, revision = context.hosts.newest(now_s)
+        version, revision = context.hosts.newest_versions(now_s)
         known = context.configuration_version
         self._note(now_s, CONFIGURATION, known, version, bounds.configuration_s)
         if context.sees_store:
             # The store's own word; its revisions also grow by what isn't an endpoint.
             revision = 0
-        known = context.endpoints.heard_revision
+        known = context.endpoints.newest_received_revision
         self._note(now_s, ENDPOINTS, known, revision, bounds.drain_s)
 
     def _note(self, now_s, kind, known, newest, bound_s):
         """Take in one comparison; log when news becomes overdue, and when it came."""
         context = self._context
         before_s = self._lags[kind].lag_s
-        lag_s = self._lags[kind].on_heard(now_s, known, newest)
+        lag_s = self._lags[kind].update(now_s, known, newest)
         context.metrics.lagged(kind, lag_s)
         is_overdue = lag_s > OVERDUE_PART * bound_s
         if is_overdue == (kind in self._overdue):
--- a/libs/entry/gypsumusher_entry/peer_beliefs.py
+++ b/libs/entry/gypsumusher_entry/peer_beliefs.py
@@ -74,7 +74,7 @@
             # watch has gone silent. Then what peers know counts for it too.
             if context.sees_store and not context.lags.is_overdue(CONFIGURATION):
                 continue
-            ahead = context.hosts.ahead(
+            ahead = context.hosts.hosts_ahead(
                 context.clock(),
                 context.configuration_version,
                 context.endpoints.revision,
@@ -159,9 +159,11 @@
                 context.clock(), beliefs.endpoints, beliefs.removed, revision
             )
         elif beliefs.is_whole:
-            changed = endpoints.on_listing(context.clock(), beliefs.endpoints, revision)
+            changed = endpoints.on_full_list(
+                context.clock(), beliefs.endpoints, revision
+            )
         else:
-            changed = endpoints.on_part(beliefs.endpoints, revision)
+            changed = endpoints.on_partial_list(beliefs.endpoints, revision)
         if changed:
             context.log(
                 "info",
--- a/libs/entry/gypsumusher_entry/reading.py
+++ b/libs/entry/gypsumusher_entry/reading.py
@@ -13,8 +13,8 @@
 from gypsumusher_routing import (
     HOPELESS,
     TIMELY,
-    SeenReading,
-    choose_reading,
+    PrefillObservation,
+    choose_prefill,
     urgency_of,
 )
 
@@ -91,14 +91,14 @@
         states = context.endpoints.of_service(exchange.service)
         states = [s for s in states if s.record.endpoint_id not in tried]
         fleet = context.fleet(exchange.service, limits, states)
-        reading = choose_reading(context.clock(), fleet, exchange.wish, context.draw)
+        reading = choose_prefill(context.clock(), fleet, exchange.wish, context.draw)
         if reading is None:
             return None
         if reading.lane == HOPELESS:
             raise OverloadedError(
-                reading.expected_s, exchange.first_event_limits.given_up_s
+                reading.expected_s, exchange.first_event_limits.abandoned_s
             )
-        if not reading.is_apart:
+        if not reading.is_disaggregated:
             return None
         exchange.reserve_send()
         tried.add(reading.state.record.endpoint_id)
@@ -122,13 +122,13 @@
     )
     began_s = context.clock()
     state.own_running += 1
-    state.begin_reading(reading.cost_s, reading.lane)
+    state.begin_prefill(reading.cost_s, reading.lane)
     parts = exchange.request.generation.parts
     context.note_placement(state, parts, wait_s=reading.expected_s)
     context.note_reading_begun()
     learnt = context.learnt(exchange.service)
-    limit_s = learnt.silent_after_s(state.stage, reading.expected_s)
-    longest_s = exchange.first_event_limits.given_up_s
+    limit_s = learnt.prefill_timeout_s(state.stage, reading.expected_s)
+    longest_s = exchange.first_event_limits.abandoned_s
     if reading.lane != TIMELY:
         # Asked for elsewhere it would stand last again.
         limit_s = longest_s
@@ -145,10 +145,10 @@
         return None
     finally:
         state.own_running -= 1
-        state.end_reading(reading.cost_s, reading.lane)
+        state.end_prefill(reading.cost_s, reading.lane)
     exchange.account.on_prompt_accepted()
     took_s = context.clock() - began_s
-    state.on_answer(context.clock())
+    state.on_answer_bytes(context.clock())
     learn_reading(exchange, reading, took_s)
     state.health.on_success(context.clock())
     context.note_placement(state, parts)
@@ -157,14 +157,14 @@
         "prompt_read",
         endpoint=state.record.endpoint_id,
         tokens=exchange.request.generation.prompt_tokens,
-        kept=reading.kept_tokens,
+        kept=reading.cached_tokens,
         fetched_from=reading.fetch_address,
         lane=reading.lane,
         queue_ms=round(reading.queue_s * 1000),
         expected_ms=round(reading.expected_s * 1000),
         took_ms=round(took_s * 1000),
         cost_ms=round(reading.cost_s * 1000),
-        pace=round(state.pace.factor(context.clock()), 2),
+        pace=round(state.slowdown.factor(context.clock()), 2),
         margin=round(learnt.margin(state.stage), 2),
     )
     return Prompt(state, answer)
@@ -173,17 +173,17 @@
 def learn_reading(exchange, reading, took_s):
     """Take in what a reading took, in seconds."""
     context, state = exchange.context, reading.state
-    seen = SeenReading(
-        "prefill" if reading.is_apart else "decode",
+    seen = PrefillObservation(
+        "prefill" if reading.is_disaggregated else "decode",
         reading.lane,
         reading.new_tokens,
-        reading.kept_tokens,
+        reading.cached_tokens,
         reading.fetch_s,
         reading.cost_s,
         reading.queue_s,
         took_s,
     )
-    context.learnt(exchange.service).on_reading(context.clock(), state.pace, seen)
+    context.learnt(exchange.service).on_prefill(context.clock(), state.slowdown, seen)
 
 
 async def _ask(exchange, state, send):
--- a/libs/entry/gypsumusher_entry/registration.py
+++ b/libs/entry/gypsumusher_entry/registration.py
@@ -111,7 +111,7 @@
             return
         if self._watching_since_s is None:
             self._watching_since_s = now_s
-        for name in context.hosts.drop_forgotten(now_s, self._watching_since_s):
+        for name in context.hosts.drop_silent(now_s, self._watching_since_s):
             context.log("info", "host_forgotten", peer=name)
             result = await self._store.delete(HOSTS_KIND, name)
             if isinstance(result, Failure) and result.failure().code == "absent":
--- a/libs/entry/gypsumusher_entry/service_exchange.py
+++ b/libs/entry/gypsumusher_entry/service_exchange.py
@@ -143,7 +143,7 @@
             note_failure(exchange, result.state, result.error)
             self._retry(result.error.reason)
             return False
-        result.state.on_answer(now_s)
+        result.state.on_answer_bytes(now_s)
         result.state.health.on_success(now_s)
         if result.head.status < 500:
             self._note_slow()
--- a/libs/entry/gypsumusher_entry/stage_orders.py
+++ b/libs/entry/gypsumusher_entry/stage_orders.py
@@ -17,7 +17,7 @@
     GIVEN_UP,
     SEND,
     EngineView,
-    StageNews,
+    OrderedStage,
     StageOrder,
     StagePlanner,
 )
@@ -76,7 +76,7 @@
             if service.engine is None:
                 continue
             planner = self._planners.setdefault(service.name, StagePlanner())
-            change = planner.look(context.clock(), self._views(service.name))
+            change = planner.next_change(context.clock(), self._views(service.name))
             if change is not None:
                 self._begin(service.name, change)
 
@@ -108,12 +108,12 @@
             if state.record.service != service or state.stage is None:
                 continue
             load = state.load(now_s)
-            news = state.stage_news
+            news = state.ordered_stage
             order = self._orders.get(endpoint_id)
             is_switching = order is not None or (news is not None and news.is_switching)
             # One that changes its stage refuses work, which says nothing against it.
             is_sound = is_switching or not state.health.is_avoided(now_s)
-            if state.record.is_leaving or state.is_withdrawn:
+            if state.record.is_leaving or state.is_address_taken:
                 is_sound = False
             views.append(
                 EngineView(
@@ -148,11 +148,11 @@
             del self._orders[record.endpoint_id]
             self._tell(state, None)
             if step == DONE:
-                news = StageNews(order.stage, False)
-                state.on_stage_news(context.clock(), news, STAGE_KEPT_S)
+                news = OrderedStage(order.stage, False)
+                state.on_stage_ordered(context.clock(), news, STAGE_KEPT_S)
                 self._tell(state, news)
             elif order.sends:
-                state.drop_stage_news(float("inf"))
+                state.expire_ordered_stage(float("inf"))
         context.metrics.stage_ordered(order.stage, step)
         context.log(
             "info",
@@ -186,8 +186,8 @@
         """Send an order once; note what its answer says."""
         context, record = self._context, state.record
         # From the first byte on the engine may refuse work, so no host sends it any.
-        news = StageNews(order.stage, True)
-        state.on_stage_news(context.clock(), news, float("inf"))
+        news = OrderedStage(order.stage, True)
+        state.on_stage_ordered(context.clock(), news, float("inf"))
         self._tell(state, news)
         order.on_send(context.clock())
         call = encode_stage_order(
--- a/libs/entry/gypsumusher_entry/stream_exchange.py
+++ b/libs/entry/gypsumusher_entry/stream_exchange.py
@@ -15,10 +15,10 @@
     HOPELESS,
     TIMELY,
     EventSplitter,
+    cache_transfer_s,
     choose_decode,
     choose_endpoint,
-    choose_reading,
-    transfer_s,
+    choose_prefill,
     urgency_of,
 )
 
@@ -138,13 +138,13 @@
             return state, None
         decodes = [s for s in states if s.stage != "prefill"]
         fleet = fleet._replace(states=decodes)
-        reading = choose_reading(now_s, fleet, exchange.wish, context.draw)
+        reading = choose_prefill(now_s, fleet, exchange.wish, context.draw)
         if reading is None:
             return None, None
         if reading.lane == HOPELESS:
             if not exchange.may_have_run:
                 raise OverloadedError(
-                    reading.expected_s, exchange.first_event_limits.given_up_s
+                    reading.expected_s, exchange.first_event_limits.abandoned_s
                 )
             # It goes on after a broken try: nobody else would take it up.
             reading = reading._replace(lane=TIMELY)
@@ -215,7 +215,7 @@
                 break
             now_s = self._context.clock()
             wait.due_s = now_s + NEXT_EVENT_S
-            run.state.on_answer(now_s)
+            run.state.on_answer_bytes(now_s)
             for event in splitter.feed(data):
                 self._pass_event_on(head, event, run)
             await exchange.reply.drain()
@@ -274,8 +274,8 @@
         """Take in what the first event tells of the reading, or of the hand-over."""
         took_s = now_s - run.sent_s
         if run.prompt is not None:
-            moved_s = transfer_s(self._generation.prompt_tokens, self._limits)
-            self._context.learnt(self._exchange.service).on_hand_over(took_s, moved_s)
+            moved_s = cache_transfer_s(self._generation.prompt_tokens, self._limits)
+            self._context.learnt(self._exchange.service).on_handover(took_s, moved_s)
         elif run.reading is not None:
             learn_reading(self._exchange, run.reading, took_s)
 
@@ -307,7 +307,7 @@
         self.state.own_running += 1
         if self.reading is not None:
             self._is_reading = True
-            self.state.begin_reading(self.reading.cost_s, self.reading.lane)
+            self.state.begin_prefill(self.reading.cost_s, self.reading.lane)
 
     def on_first_event(self, context, generation):
         """Note that the prompt is read, and is kept there now."""
@@ -324,4 +324,4 @@
     def _end_reading(self):
         if self._is_reading:
             self._is_reading = False
-            self.state.end_reading(self.reading.cost_s, self.reading.lane)
+            self.state.end_prefill(self.reading.cost_s, self.reading.lane)
--- a/libs/entry/gypsumusher_entry/web.py
+++ b/libs/entry/gypsumusher_entry/web.py
@@ -92,15 +92,15 @@
     without a new one.
     """
     endpoints = context.endpoints
-    is_whole = not endpoints.is_in_grace(context.clock())
+    is_whole = not endpoints.is_in_grace_period(context.clock())
     stored = context.configuration_source
     if context.configuration_version <= version:
         stored = None
     records = removed = None
     if endpoints.revision > revision or not is_whole:
-        changes = endpoints.changes_beyond(revision) if is_whole else None
+        changes = endpoints.changes_since(revision) if is_whole else None
         if changes is not None and takes_changes:
             records, removed = map(tuple, changes)
         else:
-            records = tuple(endpoints.listed())
+            records = tuple(endpoints.listed_records())
     return Beliefs(stored, records, endpoints.revision, is_whole, removed)
--- a/libs/entry/tests/test_overdue.py
+++ b/libs/entry/tests/test_overdue.py
@@ -30,7 +30,7 @@
     # engine was taken for silent, and left; its load then pressed on those that were
     # left, until no engine counted as well.
     watched = Watched()
-    watched.state.on_answer(1.9)
+    watched.state.on_answer_bytes(1.9)
     assert not watched.is_avoided(2.0)
     # With nothing at all from it, it is left.
     assert watched.is_avoided(3.5)
--- a/libs/entry/tests/test_retry_budget.py
+++ b/libs/entry/tests/test_retry_budget.py
@@ -23,7 +23,7 @@
 from gypsumusher_entry.metrics import Metrics
 from gypsumusher_entry.sending import silence_limit
 from gypsumusher_platform import decode_configuration
-from gypsumusher_routing import HostNews
+from gypsumusher_routing import HostStatus
 
 REQUESTS = 200
 HOSTS = 7
@@ -86,7 +86,7 @@
             # Its share of the retries is empty as after a start.
             context.started_s = context.clock()
             learnt = context.learnt("svc")
-            learnt.silent_after_s = lambda stage, expected_s: 0.2
+            learnt.prefill_timeout_s = lambda stage, expected_s: 0.2
             status, _, _ = await world.ask(
                 method="POST",
                 **{
@@ -149,9 +149,9 @@
 
     def hear(self, now_s, number):
         self.context.hosts.on_record(now_s, f"host-{number}", f"127.0.0.{number + 1}")
-        self.context.hosts.on_news(
+        self.context.hosts.on_status(
             now_s,
-            HostNews(
+            HostStatus(
                 f"host-{number}", 1, 1, f"127.0.0.{number + 1}", "zone-a", "", "",
                 True, 1, 1, 1.0, True, 1.0, 0.45, HOSTS,
             ),
--- a/libs/entry/tests/test_simultaneous_choices.py
+++ b/libs/entry/tests/test_simultaneous_choices.py
@@ -9,7 +9,7 @@
 from gypsumusher_entry.gossip import URGENT_S, Gossip
 from gypsumusher_entry.metrics import Metrics
 from gypsumusher_ports import EndpointRecord
-from gypsumusher_routing import TIMELY, HostNews
+from gypsumusher_routing import TIMELY, HostStatus
 
 PEERS = 3
 READING_S = 0.2
@@ -45,14 +45,14 @@
         )
         self.context.endpoints.on_record(record, 1)
         for number in range(1, PEERS + 1):
-            self.context.hosts.on_news(clock(), _news(number))
+            self.context.hosts.on_status(clock(), _news(number))
         self.gossip = Gossip(self.context)
         self.gossip.connection_made(Transport())
         self.context.reading_listeners.append(self.gossip.on_reading_begun)
 
     def begin_reading(self):
         self.context.endpoints.states["e-1"].own_running += 1
-        self.context.endpoints.states["e-1"].begin_reading(READING_S, TIMELY)
+        self.context.endpoints.states["e-1"].begin_prefill(READING_S, TIMELY)
         self.context.note_reading_begun()
 
     def sent(self):
@@ -67,7 +67,7 @@
 
 
 def _news(number):
-    return HostNews(
+    return HostStatus(
         f"host-{number}", 1, 1, f"127.0.0.{number + 1}", "a", "", "", True, 1, 1, 1.0,
         True, 1.0, 0.45, 0,
     )  # fmt: skip
--- a/libs/entry/tests/test_store_calls.py
+++ b/libs/entry/tests/test_store_calls.py
@@ -135,7 +135,7 @@
             fleet.store.forget_history()
             await fleet.until_few_watch()
             contexts = [host.context for host in fleet.hosts]
-            assert any(c.endpoints.is_in_grace(c.clock()) for c in contexts)
+            assert any(c.endpoints.is_in_grace_period(c.clock()) for c in contexts)
             calls = await fleet.calls_for_changes()
             assert calls <= WATCHERS * CHANGES + SPARE_CALLS
             await fleet.until_heard()
--- a/libs/routing/gypsumusher_routing/__init__.py
+++ b/libs/routing/gypsumusher_routing/__init__.py
@@ -1,31 +1,30 @@
 """Decisions on a request's way to an endpoint, without input, output or a clock."""
 
 from gypsumusher_routing.active_hosts import (
-    active_count,
-    choose_active,
+    active_host_count,
+    choose_active_hosts,
     choose_watchers,
 )
-from gypsumusher_routing.endpoint_state import EndpointState, Load, StageNews
+from gypsumusher_routing.cost_model import CostModel, PrefillObservation
+from gypsumusher_routing.endpoint_state import EndpointState, Load, OrderedStage
 from gypsumusher_routing.endpoint_table import EndpointTable
 from gypsumusher_routing.engine_choice import (
-    Fleet,
-    Reading,
-    Wish,
+    EnginePool,
+    PrefillChoice,
+    RoutingRequest,
+    cache_transfer_s,
     choose_decode,
-    choose_reading,
-    transfer_s,
+    choose_prefill,
 )
 from gypsumusher_routing.events import Event, EventSplitter, OversizedEvent
+from gypsumusher_routing.gossip_rate import GossipRateLimiter
 from gypsumusher_routing.health import Health
-from gypsumusher_routing.hosts import HostNews, HostTable, capacity_of
-from gypsumusher_routing.learnt import Learnt, SeenReading
-from gypsumusher_routing.link_share import LinkShare
-from gypsumusher_routing.news_lag import NewsLag
+from gypsumusher_routing.host_table import HostStatus, HostTable, host_capacity
 from gypsumusher_routing.policy import ALL_ON, Policy, policy_without
-from gypsumusher_routing.prefixes import PrefixTable
-from gypsumusher_routing.retry_share import RetryDecision, RetryShare
+from gypsumusher_routing.prefix_cache import PrefixCacheEstimate
+from gypsumusher_routing.retry_budget import RetryBudget, RetryDecision
 from gypsumusher_routing.routes import RouteTable, pick_service
-from gypsumusher_routing.send_account import SendAccount
+from gypsumusher_routing.send_counter import SendCounter
 from gypsumusher_routing.service_choice import choose_endpoint
 from gypsumusher_routing.stage_order import (
     ASK,
@@ -47,58 +46,59 @@
     first_event_limit_s,
     urgency_of,
 )
+from gypsumusher_routing.version_lag import VersionLag
 
 __all__ = [
     "ALL_ON",
     "ASK",
     "DONE",
     "GIVEN_UP",
+    "HOPELESS",
+    "LANES",
+    "LATE",
     "SEND",
+    "TIMELY",
+    "WAIT",
+    "CostModel",
     "EndpointState",
     "EndpointTable",
+    "EnginePool",
     "EngineView",
     "Event",
     "EventSplitter",
     "FirstEventLimits",
-    "Fleet",
+    "GossipRateLimiter",
     "Health",
-    "HostNews",
-    "HOPELESS",
+    "HostStatus",
     "HostTable",
-    "LANES",
-    "LATE",
-    "Learnt",
     "Load",
+    "OrderedStage",
     "OversizedEvent",
-    "LinkShare",
-    "NewsLag",
     "Policy",
-    "PrefixTable",
-    "Reading",
+    "PrefillChoice",
+    "PrefillObservation",
+    "PrefixCacheEstimate",
+    "RetryBudget",
     "RetryDecision",
-    "RetryShare",
-    "SendAccount",
     "RouteTable",
-    "SeenReading",
+    "RoutingRequest",
+    "SendCounter",
     "StageChange",
-    "StageNews",
     "StageOrder",
     "StagePlanner",
-    "TIMELY",
-    "WAIT",
-    "Wish",
+    "VersionLag",
     "abandoned_after_s",
-    "active_count",
-    "capacity_of",
-    "choose_active",
+    "active_host_count",
+    "cache_transfer_s",
+    "choose_active_hosts",
     "choose_decode",
     "choose_endpoint",
     "choose_lane",
-    "choose_reading",
+    "choose_prefill",
     "choose_watchers",
     "first_event_limit_s",
+    "host_capacity",
     "pick_service",
     "policy_without",
-    "transfer_s",
     "urgency_of",
 ]
--- a/libs/routing/gypsumusher_routing/active_hosts.py
+++ b/libs/routing/gypsumusher_routing/active_hosts.py
@@ -10,9 +10,9 @@
 
 import zlib
 
-from gypsumusher_routing.hosts import HostNews
+from gypsumusher_routing.host_table import HostStatus
 
-__all__ = ["WATCHERS", "active_count", "choose_active", "choose_watchers"]
+__all__ = ["WATCHERS", "active_host_count", "choose_active_hosts", "choose_watchers"]
 
 # At least so many are active, where there are so many: on seven and eight hosts four of
 # them served 0.013 more of the worth than all, which is within what two runs differ by.
@@ -30,12 +30,14 @@
 WATCHERS = 3
 
 
-def active_count(hosts_count: int) -> int:
+def active_host_count(hosts_count: int) -> int:
     """Return how many of so many hosts callers are sent to, where all are alike."""
     return min(hosts_count, max(ACTIVE_MIN, round(hosts_count * ACTIVE_PART)))
 
 
-def choose_active(hosts: list[HostNews], hosts_count: int = 0) -> list[HostNews]:
+def choose_active_hosts(
+    hosts: list[HostStatus], hosts_count: int = 0
+) -> list[HostStatus]:
     """Return the hosts that callers are sent to, in an order that all hosts agree on.
 
     Failure guarded against: most hosts hear of the active ones alone. A part of those
@@ -43,12 +45,12 @@
 
     Parameters
     ----------
-    hosts : list of HostNews
+    hosts : list of HostStatus
         The live hosts that take callers, as far as this host hears of them.
     hosts_count : int
         Number of all hosts that there are, as far as it is known to be larger.
     """
-    count = active_count(max(hosts_count, len(hosts)))
+    count = active_host_count(max(hosts_count, len(hosts)))
     by_zone = {}
     for host in hosts:
         by_zone.setdefault(host.zone, []).append(host)
@@ -76,7 +78,7 @@
     return strong if is_enough else chosen
 
 
-def choose_watchers(active: list[HostNews]) -> list[HostNews]:
+def choose_watchers(active: list[HostStatus]) -> list[HostStatus]:
     """Return those of the active hosts that watch the store."""
     return active[:WATCHERS]
 
--- a/libs/routing/gypsumusher_routing/learnt.py
+++ b/libs/routing/gypsumusher_routing/cost_model.py
@@ -2,11 +2,15 @@
 
 from typing import NamedTuple
 
-from gypsumusher_routing.estimates import EventTokens, Quantile, ReadingCost
+from gypsumusher_routing.estimates import (
+    PrefillCostModel,
+    RunningQuantile,
+    TokensPerEvent,
+)
 from gypsumusher_routing.policy import ALL_ON, Policy
 from gypsumusher_routing.urgency import TIMELY
 
-__all__ = ["Learnt", "SeenReading"]
+__all__ = ["CostModel", "PrefillObservation"]
 
 # Only a prompt that met a short queue tells what reading costs: what other hosts sent
 # in between is known too late to be told from slowness. As a part of its own cost.
@@ -31,7 +35,7 @@
 FIRST_HAND_OVER_S, LEAST_HAND_OVER_S, MOST_HAND_OVER_S = 0.03, 0.001, 0.5
 
 
-class SeenReading(NamedTuple):
+class PrefillObservation(NamedTuple):
     """One prompt that was read.
 
     Attributes
@@ -40,7 +44,7 @@
         Stage of the engine.
     lane : str
         Its lane.
-    new_tokens, kept_tokens : int
+    new_tokens, cached_tokens : int
         Tokens that were to be read, and those before them that were kept.
     fetch_s : float
         Expected time to fetch parts first, in seconds.
@@ -55,14 +59,14 @@
     stage: str
     lane: str
     new_tokens: int
-    kept_tokens: int
+    cached_tokens: int
     fetch_s: float
     cost_s: float
     queue_s: float
     took_s: float
 
 
-class Learnt:
+class CostModel:
     """Costs of reading, their margins, and what a hand-over takes, for one service.
 
     Parameters
@@ -76,22 +80,22 @@
         self._costs = {}
         self._margins = {}
         self._event_tokens = {}
-        self._hand_over = Quantile(
+        self._hand_over = RunningQuantile(
             SURE_PART, FIRST_HAND_OVER_S, LEAST_HAND_OVER_S, MOST_HAND_OVER_S
         )
 
-    def cost(self, stage: str) -> ReadingCost:
+    def prefill_cost(self, stage: str) -> PrefillCostModel:
         """Return the cost of reading at engines of a stage."""
         if stage not in self._costs:
             is_apart = stage == "prefill"
-            self._costs[stage] = ReadingCost(1.0 if is_apart else DECODE_FACTOR)
+            self._costs[stage] = PrefillCostModel(1.0 if is_apart else DECODE_FACTOR)
         return self._costs[stage]
 
     def margin(self, stage: str) -> float:
         """Return by what factor an expectation is to be taken longer to be sure."""
         return self._margin(stage).value
 
-    def silent_after_s(self, stage: str, expected_s: float) -> float:
+    def prefill_timeout_s(self, stage: str, expected_s: float) -> float:
         """Return after what time a reading's engine counts as silent, in seconds.
 
         Failure guarded against: an engine that reads what other hosts have sent is
@@ -100,15 +104,15 @@
         """
         return max(LEAST_SILENCE_S, SILENCE_FACTOR * self.margin(stage) * expected_s)
 
-    def hand_over_s(self) -> float:
+    def handover_s(self) -> float:
         """Return what a hand-over takes beside the transfer, in seconds."""
         return self._hand_over.value
 
-    def event_tokens(self, route: str) -> EventTokens:
+    def tokens_per_event(self, route: str) -> TokensPerEvent:
         """Return how many tokens of an estimate an event of a route stands for."""
-        return self._event_tokens.setdefault(route, EventTokens())
+        return self._event_tokens.setdefault(route, TokensPerEvent())
 
-    def on_reading(self, now_s: float, pace, seen: SeenReading) -> None:
+    def on_prefill(self, now_s: float, pace, seen: PrefillObservation) -> None:
         """Take in a prompt that was read at an engine, with the engine's pace.
 
         Only timely prompts tell of the engine's pace and of the error: the others wait
@@ -119,20 +123,22 @@
         is_alone = seen.queue_s <= LEARNT_QUEUE_PART * seen.cost_s
         if is_alone and self._policy.learnt_costs:
             usual_s = read_s / factor if factor > SLOW_PACE else read_s
-            self.cost(seen.stage).learn(seen.new_tokens, seen.kept_tokens, usual_s)
+            self.prefill_cost(seen.stage).learn(
+                seen.new_tokens, seen.cached_tokens, usual_s
+            )
         if seen.lane != TIMELY:
             return
         expected_s = seen.cost_s + seen.queue_s
         self._margin(seen.stage).learn(read_s / max(1e-3, expected_s * factor))
         pace.learn(now_s, read_s, expected_s)
 
-    def on_hand_over(self, took_s: float, transfer_s: float) -> None:
+    def on_handover(self, took_s: float, transfer_s: float) -> None:
         """Take in the time from a send to its first event, and the transfer's part."""
         self._hand_over.learn(max(LEAST_HAND_OVER_S, took_s - transfer_s))
 
     def _margin(self, stage):
         if stage not in self._margins:
-            self._margins[stage] = Quantile(
+            self._margins[stage] = RunningQuantile(
                 SURE_PART, FIRST_MARGIN, LEAST_MARGIN, MOST_MARGIN
             )
         return self._margins[stage]
--- a/libs/routing/gypsumusher_routing/endpoint_state.py
+++ b/libs/routing/gypsumusher_routing/endpoint_state.py
@@ -3,12 +3,12 @@
 from typing import NamedTuple
 
 from gypsumusher_ports import EndpointRecord
-from gypsumusher_routing.estimates import Pace, Quantile
+from gypsumusher_routing.estimates import RunningQuantile, Slowdown
 from gypsumusher_routing.health import Health
-from gypsumusher_routing.prefixes import PrefixTable
+from gypsumusher_routing.prefix_cache import PrefixCacheEstimate
 from gypsumusher_routing.urgency import LANES
 
-__all__ = ["EndpointState", "Load", "StageNews"]
+__all__ = ["EndpointState", "Load", "OrderedStage"]
 
 # A peer's counts are used for this long after they were heard, in seconds; by then it
 # has sent anew, or it is gone with what it had running.
@@ -31,28 +31,28 @@
     ----------
     running : int
         Requests sent and not ended.
-    readings : int
+    prefills : int
         Those of them whose prompts are still to be read.
-    lane_s : tuple of float
+    prefill_s_by_lane : tuple of float
         What those prompts take to be read, by lane, in seconds at the usual pace of
         the stage; the engine reads those of an earlier lane first.
     """
 
     running: int
-    readings: int = 0
-    lane_s: tuple[float, ...] = NO_WORK
+    prefills: int = 0
+    prefill_s_by_lane: tuple[float, ...] = NO_WORK
 
-    def before_s(self, lane: str) -> float:
+    def prefill_ahead_s(self, lane: str) -> float:
         """Return what is read before a prompt of a lane that comes now, in seconds."""
-        return sum(self.lane_s[: LANES.index(lane) + 1])
+        return sum(self.prefill_s_by_lane[: LANES.index(lane) + 1])
 
     @property
-    def reading_s(self) -> float:
+    def pending_prefill_s(self) -> float:
         """What is still to be read, in seconds."""
-        return sum(self.lane_s)
+        return sum(self.prefill_s_by_lane)
 
 
-class StageNews(NamedTuple):
+class OrderedStage(NamedTuple):
     """What the host that orders stages says of one engine.
 
     Attributes
@@ -81,22 +81,24 @@
     def __init__(self, record: EndpointRecord, kv_tokens: int = DEFAULT_KV_TOKENS):
         self.record = record
         self.health = Health()
-        self.prefixes = PrefixTable(kv_tokens)
+        self.prefixes = PrefixCacheEstimate(kv_tokens)
         self.own_running = 0
         self._own_readings = 0
         self._own_lane_s = list(NO_WORK)
         self._stage_news = None
         self._stage_news_until_s = float("-inf")
-        self.is_withdrawn = False
+        self.is_address_taken = False
         self._peers = {}
-        self.pace = Pace()
+        self.slowdown = Slowdown()
         self._answered_s = float("-inf")
-        self._strain = Quantile(STRAIN_PART, FIRST_STRAIN, LEAST_STRAIN, MOST_STRAIN)
+        self._strain = RunningQuantile(
+            STRAIN_PART, FIRST_STRAIN, LEAST_STRAIN, MOST_STRAIN
+        )
 
     @property
     def is_usable(self) -> bool:
         """Whether it may get new work."""
-        if self.record.is_leaving or self.is_withdrawn:
+        if self.record.is_leaving or self.is_address_taken:
             return False
         return self._stage_news is None or not self._stage_news.is_switching
 
@@ -108,11 +110,11 @@
         return self.record.stage
 
     @property
-    def stage_news(self) -> StageNews | None:
+    def ordered_stage(self) -> OrderedStage | None:
         """What the host that orders stages says of it, if anything."""
         return self._stage_news
 
-    def on_stage_news(self, now_s: float, news: StageNews, for_s: float) -> None:
+    def on_stage_ordered(self, now_s: float, news: OrderedStage, for_s: float) -> None:
         """Take in that it was ordered to change its stage.
 
         Failure guarded against: entries tell of a stage seconds later, or not while the
@@ -129,11 +131,11 @@
             For how long that holds unless it is said again, in seconds.
         """
         if news.stage != self.stage:
-            self.pace = Pace()
+            self.slowdown = Slowdown()
         self._stage_news = news
         self._stage_news_until_s = now_s + for_s
 
-    def drop_stage_news(self, now_s: float) -> None:
+    def expire_ordered_stage(self, now_s: float) -> None:
         """Go by the entry again once the news is old."""
         if now_s >= self._stage_news_until_s:
             self._stage_news = None
@@ -142,10 +144,10 @@
         """Take over a newer entry of the same incarnation."""
         if record.beat > self.record.beat:
             # It lives, and still has this address.
-            self.is_withdrawn = False
+            self.is_address_taken = False
         self.record = record
 
-    def on_answer(self, now_s: float) -> None:
+    def on_answer_bytes(self, now_s: float) -> None:
         """Note that bytes of an answer came, whosever answer it is."""
         self._answered_s = now_s
 
@@ -178,7 +180,7 @@
         self._strain.learn(gap_s / max(0.001, allowed_s))
 
     @property
-    def stream_strain(self) -> float:
+    def event_gap_ratio(self) -> float:
         """Pauses in its streams, as a part of those that let them end in time."""
         return self._strain.value
 
@@ -203,17 +205,17 @@
             if now_s - at_s > PEER_LOAD_S:
                 continue
             running += load.running
-            readings += load.readings
-            for place, work_s in enumerate(load.lane_s):
+            readings += load.prefills
+            for place, work_s in enumerate(load.prefill_s_by_lane):
                 lane_s[place] += work_s
         return Load(running, readings, tuple(max(0.0, work_s) for work_s in lane_s))
 
-    def begin_reading(self, work_s: float, lane: str) -> None:
+    def begin_prefill(self, work_s: float, lane: str) -> None:
         """Count a prompt that is sent here to be read."""
         self._own_readings += 1
         self._own_lane_s[LANES.index(lane)] += work_s
 
-    def end_reading(self, work_s: float, lane: str) -> None:
+    def end_prefill(self, work_s: float, lane: str) -> None:
         """Take a prompt out that is read, or won't be."""
         self._own_readings -= 1
         self._own_lane_s[LANES.index(lane)] -= work_s
--- a/libs/routing/gypsumusher_routing/endpoint_table.py
+++ b/libs/routing/gypsumusher_routing/endpoint_table.py
@@ -37,11 +37,11 @@
         self._removed_at = {}
 
     @property
-    def heard_revision(self) -> int:
+    def newest_received_revision(self) -> int:
         """Revision of the newest list or change, of a list in part too."""
         return max(self.revision, self._part_revision)
 
-    def set_memory(self, kv_tokens_by_service) -> None:
+    def set_cache_capacity(self, kv_tokens_by_service) -> None:
         """Take over the memory of each service's engines, in tokens."""
         self._kv_tokens = dict(kv_tokens_by_service)
 
@@ -49,15 +49,15 @@
         """Note that the store answers again after it was away."""
         self._grace_until_s = now_s + RETURN_GRACE_S
 
-    def end_grace(self) -> None:
+    def end_grace_period(self) -> None:
         """Note that the store was not away: what is missing has left."""
         self._grace_until_s = 0.0
 
-    def is_in_grace(self, now_s: float) -> bool:
+    def is_in_grace_period(self, now_s: float) -> bool:
         """Say whether entries that are missing may still come back."""
         return now_s < self._grace_until_s
 
-    def listed(self) -> list[EndpointRecord]:
+    def listed_records(self) -> list[EndpointRecord]:
         """Return the endpoints whose entries stand, for the peers.
 
         One that is only kept because its entry may come back is not among them: a peer
@@ -70,7 +70,7 @@
             if endpoint_id not in self._missing_since_s
         ]
 
-    def changes_beyond(self, revision: int):
+    def changes_since(self, revision: int):
         """Return what has changed beyond a revision, for a peer that knows it.
 
         Failure guarded against: an endpoint that came and went between two whole lists
@@ -97,7 +97,7 @@
         ]
         return changed, removed
 
-    def on_listing(self, now_s: float, records, revision: int) -> list[str]:
+    def on_full_list(self, now_s: float, records, revision: int) -> list[str]:
         """Take over a whole list; return the ids that are new, changed or missing.
 
         A list older than what is known changes nothing: a stale one would bring back
@@ -122,7 +122,7 @@
             self._miss(now_s, endpoint_id)
         return changed
 
-    def on_part(self, records, revision: int) -> list[str]:
+    def on_partial_list(self, records, revision: int) -> list[str]:
         """Take over a list that may lack endpoints; return the ids that changed.
 
         The list's revision isn't taken for known: the whole list at it is to come.
@@ -201,14 +201,14 @@
             state = self.states.get(endpoint_id)
             if state is not None:
                 state.on_peer_load(now_s, peer, load)
-                state.health.on_peer(now_s, peer, penalty)
+                state.health.on_peer_penalty(now_s, peer, penalty)
         self._named_by[peer] = tuple(loads)
 
     def on_wrong_endpoint(self, endpoint_id: str) -> None:
         """Note that another endpoint answers at the address of this one."""
         state = self.states.get(endpoint_id)
         if state is not None:
-            state.is_withdrawn = True
+            state.is_address_taken = True
 
     def drop_missing(self, now_s: float) -> list[str]:
         """Drop endpoints that are missing for too long; return their ids."""
--- a/libs/routing/gypsumusher_routing/engine_choice.py
+++ b/libs/routing/gypsumusher_routing/engine_choice.py
@@ -10,8 +10,8 @@
 from typing import NamedTuple
 
 from gypsumusher_ports import EngineLimits, Generation
+from gypsumusher_routing.cost_model import CostModel
 from gypsumusher_routing.endpoint_state import EndpointState
-from gypsumusher_routing.learnt import Learnt
 from gypsumusher_routing.policy import ALL_ON, Policy
 from gypsumusher_routing.urgency import (
     HOPELESS,
@@ -21,7 +21,14 @@
     choose_lane,
 )
 
-__all__ = ["Fleet", "Reading", "Wish", "choose_decode", "choose_reading", "transfer_s"]
+__all__ = [
+    "EnginePool",
+    "PrefillChoice",
+    "RoutingRequest",
+    "choose_decode",
+    "choose_prefill",
+    "cache_transfer_s",
+]
 
 # Time that the caller's connection and the way back take, in seconds, of the objective.
 WAY_S = 0.02
@@ -66,7 +73,7 @@
 EVEN_S = 0.001
 
 
-class Fleet(NamedTuple):
+class EnginePool(NamedTuple):
     """The engines that a request may use, and what is known of them all.
 
     Attributes
@@ -75,11 +82,11 @@
         Engines of the service that may get work.
     limits : EngineLimits
         What the engines have in common.
-    learnt : Learnt
+    learnt : CostModel
         What their answers have taught.
     own_zone : str
         Zone of this host.
-    connections : int
+    max_connections : int
         Connections that this host may have to one engine.
     policy : Policy
         Which mechanisms decide.
@@ -87,13 +94,13 @@
 
     states: list[EndpointState]
     limits: EngineLimits
-    learnt: Learnt
+    cost_model: CostModel
     own_zone: str
-    connections: int
+    max_connections: int
     policy: Policy = ALL_ON
 
 
-class Wish(NamedTuple):
+class RoutingRequest(NamedTuple):
     """What a request asks for, and until when.
 
     Attributes
@@ -104,29 +111,29 @@
         Objective of its route, in seconds.
     objective_left_s : float
         Time until its first event is late, in seconds.
-    first_event : FirstEventLimits
+    first_event_limits : FirstEventLimits
         Until when the first event is of use.
-    events : float
+    expected_events : float
         Events that its answer is expected to have.
     """
 
     generation: Generation
     objective_s: float
     objective_left_s: float
-    first_event: FirstEventLimits
-    events: float = 1.0
+    first_event_limits: FirstEventLimits
+    expected_events: float = 1.0
 
 
-class Reading(NamedTuple):
+class PrefillChoice(NamedTuple):
     """Where a prompt is to be read.
 
     Attributes
     ----------
     state : EndpointState
         The engine.
-    is_apart : bool
+    is_disaggregated : bool
         Whether another engine makes the tokens.
-    new_tokens, kept_tokens : int
+    new_tokens, cached_tokens : int
         Tokens that it is to read, and those before them that it is believed to keep.
     cost_s : float
         What reading it takes at the usual pace of the engine's stage, in seconds.
@@ -143,9 +150,9 @@
     """
 
     state: EndpointState
-    is_apart: bool
+    is_disaggregated: bool
     new_tokens: int
-    kept_tokens: int
+    cached_tokens: int
     cost_s: float
     queue_s: float
     expected_s: float
@@ -159,16 +166,18 @@
         return None if self.fetch_from is None else self.fetch_from.record.address
 
 
-def choose_reading(now_s: float, fleet: Fleet, wish: Wish, draw) -> Reading | None:
+def choose_prefill(
+    now_s: float, fleet: EnginePool, wish: RoutingRequest, draw
+) -> PrefillChoice | None:
     """Return where a prompt is read first, or None when nothing can run it.
 
     Parameters
     ----------
     now_s : float
         The present time, in seconds.
-    fleet : Fleet
+    fleet : EnginePool
         The engines.
-    wish : Wish
+    wish : RoutingRequest
         The request.
     draw : callable
         Returns a number from 0 up to 1.
@@ -193,7 +202,9 @@
         reading = _reading_at(now_s, state, load, fleet, wish, kept, holder, held)
         cost_s = _cost_s(now_s, reading, load, fleet, wish)
         if fleet.policy.strain:
-            cost_s += least_stream_s if reading.is_apart else _stream_s(state, wish)
+            cost_s += (
+                least_stream_s if reading.is_disaggregated else _stream_s(state, wish)
+            )
         key = (round(cost_s / EVEN_S), draw())
         if best_key is None or key < best_key:
             best, best_key = reading, key
@@ -205,7 +216,7 @@
 
     Parts that are being read count too when the present time is given.
     """
-    kept = state.prefixes.kept_tokens(generation.parts, coming_s)
+    kept = state.prefixes.cached_tokens(generation.parts, coming_s)
     if not kept and state is home:
         return int(_shared_tokens(generation) * HOME_BELIEF)
     return kept
@@ -218,35 +229,39 @@
         fetch_from = holder
         fetch_s = _fetch_s(state, holder, held - kept, fleet.limits)
         kept = held
-    learnt, stage = fleet.learnt, state.stage
+    learnt, stage = fleet.cost_model, state.stage
     new_tokens = max(1, wish.generation.prompt_tokens - kept)
-    cost_s = learnt.cost(stage).expected_s(new_tokens, kept)
-    pace = state.pace.factor(now_s) if fleet.policy.pace else 1.0
+    cost_s = learnt.prefill_cost(stage).expected_s(new_tokens, kept)
+    pace = state.slowdown.factor(now_s) if fleet.policy.pace else 1.0
     is_apart = stage == "prefill"
     after_s = fetch_s
     if is_apart:
-        moved_s = transfer_s(wish.generation.prompt_tokens, fleet.limits)
-        after_s += moved_s + learnt.hand_over_s()
+        moved_s = cache_transfer_s(wish.generation.prompt_tokens, fleet.limits)
+        after_s += moved_s + learnt.handover_s()
     margin = pace * (learnt.margin(stage) if fleet.policy.margin else 1.0)
     # To be on time it has to be sure; late, it is only refused for what is expected:
     # with the margin the largest prompts would be refused at idle engines.
-    timely_s = (cost_s + load.before_s(TIMELY)) * margin + after_s
-    late_s = (cost_s + load.before_s(LATE)) * pace + after_s
+    timely_s = (cost_s + load.prefill_ahead_s(TIMELY)) * margin + after_s
+    late_s = (cost_s + load.prefill_ahead_s(LATE)) * pace + after_s
     lane = choose_lane(
         (timely_s, late_s),
         cost_s * margin + after_s,
         wish.objective_left_s - WAY_S,
-        wish.first_event,
+        wish.first_event_limits,
         _chance_of(wish.generation.parts),
         fleet.policy,
     )
     if lane == LATE and not _has_room_for_late(state, load, fleet):
         lane = HOPELESS
-    if lane == HOPELESS and not load.readings and not learnt.cost(stage).is_known:
+    if (
+        lane == HOPELESS
+        and not load.prefills
+        and not learnt.prefill_cost(stage).is_known
+    ):
         # A guess is no reason to refuse what an idle engine may well read in time.
         lane = LATE
-    queue_s = load.before_s(LATE if lane == HOPELESS else lane)
-    return Reading(
+    queue_s = load.prefill_ahead_s(LATE if lane == HOPELESS else lane)
+    return PrefillChoice(
         state,
         is_apart,
         new_tokens,
@@ -270,7 +285,7 @@
     """
     if load.running >= LATE_PART * state.record.slots:
         return False
-    return state.own_running < LATE_PART * fleet.connections
+    return state.own_running < LATE_PART * fleet.max_connections
 
 
 def _cost_s(now_s, reading, load, fleet, wish):
@@ -279,9 +294,11 @@
     cost_s = reading.expected_s + PENALTY_S * state.health.penalty(now_s)
     if fleet.policy.own_zone and state.record.zone != fleet.own_zone:
         cost_s += OTHER_ZONE_S
-    if not reading.is_apart:
+    if not reading.is_disaggregated:
         # The way there and back holds nobody up.
-        held_up_s = reading.cost_s - fleet.learnt.cost(state.stage).expected_s(0, 0)
+        held_up_s = reading.cost_s - fleet.cost_model.prefill_cost(
+            state.stage
+        ).expected_s(0, 0)
         harm = 0.0
         if fleet.policy.harm:
             harmless_s = HARMLESS_PART * wish.objective_s
@@ -294,32 +311,32 @@
 
 def _stream_s(state, wish):
     """Return what making a request's tokens at an engine counts for, in seconds."""
-    return EVENT_S * _excess_strain(state) * wish.events
+    return EVENT_S * _excess_strain(state) * wish.expected_events
 
 
 def _excess_strain(state):
     """Return by how much an engine's streams are under more strain than they bear."""
-    return max(0.0, state.stream_strain - HARMLESS_STRAIN)
+    return max(0.0, state.event_gap_ratio - HARMLESS_STRAIN)
 
 
 def choose_decode(
-    now_s: float, fleet: Fleet, wish: Wish, source_zone: str, draw
+    now_s: float, fleet: EnginePool, wish: RoutingRequest, source_zone: str, draw
 ) -> EndpointState | None:
     """Return where the tokens of a prompt that has been read are made.
 
     Parameters
     ----------
     now_s, fleet, wish, draw
-        As of `choose_reading`.
+        As of `choose_prefill`.
     source_zone : str
         Zone of the engine that has read it.
     """
-    moved_s = transfer_s(wish.generation.prompt_tokens, fleet.limits)
+    moved_s = cache_transfer_s(wish.generation.prompt_tokens, fleet.limits)
     best, best_key = None, None
     decodes = [state for state in fleet.states if state.stage != "prefill"]
     for state in _sound(now_s, decodes):
         load = state.load(now_s)
-        expected_s = load.reading_s
+        expected_s = load.pending_prefill_s
         # A batch of all slots makes a token several times as slowly as an empty one.
         expected_s += BATCH_S * load.running / max(1, state.record.slots)
         if fleet.policy.strain:
@@ -341,7 +358,7 @@
     return sound or states
 
 
-def transfer_s(tokens, limits):
+def cache_transfer_s(tokens, limits):
     """Return the time that a prompt's KV cache takes over one link, in seconds."""
     return tokens * limits.kv_token_bytes * 8.0 / limits.link_bits_per_s
 
@@ -350,7 +367,7 @@
     """Return the engine that keeps most of a prompt, and how many tokens of it."""
     holder, held = None, 0
     for state in states:
-        kept = state.prefixes.kept_tokens(parts)
+        kept = state.prefixes.cached_tokens(parts)
         if kept > held:
             holder, held = state, kept
     return holder, held
@@ -358,7 +375,7 @@
 
 def _fetch_s(state, holder, tokens, limits):
     """Return the time that an engine takes to fetch parts from another, in seconds."""
-    moved_s = transfer_s(tokens, limits)
+    moved_s = cache_transfer_s(tokens, limits)
     if state.record.zone != holder.record.zone:
         moved_s *= OTHER_ZONE_FACTOR
     return FETCH_S + moved_s
--- a/libs/routing/gypsumusher_routing/estimates.py
+++ b/libs/routing/gypsumusher_routing/estimates.py
@@ -6,7 +6,7 @@
 
 import math
 
-__all__ = ["EventTokens", "Pace", "Quantile", "ReadingCost"]
+__all__ = ["PrefillCostModel", "RunningQuantile", "Slowdown", "TokensPerEvent"]
 
 # First guess: a part for each prompt, for each thousand tokens of it, and for each
 # million pairs of its tokens, in seconds. It is that of a slow machine, so that a new
@@ -31,7 +31,7 @@
 LEAST_COST_S = 0.001
 
 
-class ReadingCost:
+class PrefillCostModel:
     """What engines of one stage take to read a prompt, in seconds.
 
     Least squares over the answers of late, with three parts: one a prompt, one a token,
@@ -56,23 +56,23 @@
         """Whether answers have told of it; before that it is a guess."""
         return self._answers >= KNOWN_AFTER
 
-    def expected_s(self, new_tokens: float, kept_tokens: float) -> float:
+    def expected_s(self, new_tokens: float, cached_tokens: float) -> float:
         """Return what reading is expected to take at an idle engine.
 
         Parameters
         ----------
-        new_tokens, kept_tokens : float
+        new_tokens, cached_tokens : float
             Tokens of the prompt that are read, and those before them that are kept.
         """
-        parts = _parts(new_tokens, kept_tokens)
+        parts = _parts(new_tokens, cached_tokens)
         expected_s = sum(p * c for p, c in zip(parts, self._costs_s, strict=True))
         return max(LEAST_COST_S, expected_s)
 
-    def learn(self, new_tokens: float, kept_tokens: float, took_s: float) -> None:
+    def learn(self, new_tokens: float, cached_tokens: float, took_s: float) -> None:
         """Take in a reading at an engine that did nothing else, in seconds."""
         self._answers += 1
-        parts = _parts(new_tokens, kept_tokens)
-        expected_s = self.expected_s(new_tokens, kept_tokens)
+        parts = _parts(new_tokens, cached_tokens)
+        expected_s = self.expected_s(new_tokens, cached_tokens)
         noise_s = NOISE_S + NOISE_PART * expected_s
         gains = [
             sum(row[place] * parts[place] for place in range(3)) for row in self._spread
@@ -141,7 +141,7 @@
 PACE_HALF_LIFE_S = 4.0
 
 
-class Pace:
+class Slowdown:
     """How many times as long one engine takes as others of its stage."""
 
     def __init__(self):
@@ -170,7 +170,7 @@
 QUANTILE_STEP = 0.05
 
 
-class Quantile:
+class RunningQuantile:
     """A value that a part of all values stays below, for values above zero.
 
     Parameters
@@ -198,7 +198,7 @@
         self.value = min(self._most, max(self._least, moved))
 
 
-class EventTokens:
+class TokensPerEvent:
     """How many tokens of callers' estimates one event of a stream stands for.
 
     Guarded against: an event may hold one token or fifty, and counted as tokens a
@@ -208,12 +208,12 @@
     def __init__(self):
         self._median = None
 
-    def events(self, tokens: float) -> float | None:
+    def expected_events(self, tokens: float) -> float | None:
         """Return how many events an answer of so many tokens has, if that is known."""
         return None if self._median is None else tokens / self._median.value
 
     def learn(self, tokens: float, events: int) -> None:
         """Take in a stream that ended whole, with the caller's estimate of it."""
         if self._median is None:
-            self._median = Quantile(0.5, tokens / events, 1e-3, 1e6)
+            self._median = RunningQuantile(0.5, tokens / events, 1e-3, 1e6)
         self._median.learn(tokens / events)
--- a/libs/routing/gypsumusher_routing/link_share.py
+++ b/libs/routing/gypsumusher_routing/gossip_rate.py
@@ -6,13 +6,13 @@
 word of endpoints that have left.
 """
 
-__all__ = ["LinkShare"]
+__all__ = ["GossipRateLimiter"]
 
 # Part of a link that messages of changed loads may take.
 LINK_PART = 0.05
 
 
-class LinkShare:
+class GossipRateLimiter:
     """A part of a host's link, as a queue that is emptied at that part of its rate.
 
     Parameters
@@ -25,7 +25,7 @@
         self._bytes_per_s = LINK_PART * link_mbps * 1e6 / 8.0
         self._free_s = float("-inf")
 
-    def is_free(self, now_s: float) -> bool:
+    def may_send(self, now_s: float) -> bool:
         """Say whether the part has carried all that was sent."""
         return now_s >= self._free_s
 
--- a/libs/routing/gypsumusher_routing/health.py
+++ b/libs/routing/gypsumusher_routing/health.py
@@ -46,15 +46,15 @@
     def on_failure(self, now_s: float, reason: str) -> None:
         """Note a failure; unknown reasons count as ``broken``."""
         added = FAILURE_PENALTIES.get(reason, FAILURE_PENALTIES["broken"])
-        self._penalty = min(PENALTY_MAX, self.own(now_s) + added)
+        self._penalty = min(PENALTY_MAX, self.own_penalty(now_s) + added)
         self._at_s = now_s
 
     def on_success(self, now_s: float) -> None:
         """Note a whole answer."""
-        self._penalty = self.own(now_s) * SUCCESS_FACTOR
+        self._penalty = self.own_penalty(now_s) * SUCCESS_FACTOR
         self._at_s = now_s
 
-    def on_peer(self, now_s: float, peer: str, penalty: float) -> None:
+    def on_peer_penalty(self, now_s: float, peer: str, penalty: float) -> None:
         """Take in a peer's own penalty."""
         if penalty <= 0.0:
             self.drop_peer(peer)
@@ -65,7 +65,7 @@
         """Note that a peer has nothing against it."""
         self._peers.pop(peer, None)
 
-    def own(self, now_s: float) -> float:
+    def own_penalty(self, now_s: float) -> float:
         """Return what this host itself has seen, for its peers."""
         if not self._penalty:
             return 0.0
@@ -73,7 +73,7 @@
 
     def penalty(self, now_s: float) -> float:
         """Return the penalty now, of all hosts together."""
-        total = self.own(now_s)
+        total = self.own_penalty(now_s)
         for penalty, at_s in self._peers.values():
             total += _decayed(penalty, now_s - at_s)
         return min(PENALTY_MAX, total)
--- a/libs/routing/gypsumusher_routing/hosts.py
+++ b/libs/routing/gypsumusher_routing/host_table.py
@@ -6,7 +6,7 @@
 
 from typing import NamedTuple
 
-__all__ = ["HostNews", "HostTable", "capacity_of"]
+__all__ = ["HostStatus", "HostTable", "host_capacity"]
 
 # Silence after which a host isn't named to callers: so many of its periods, and not
 # before the least time, in seconds, so that lost datagrams don't take a live host out.
@@ -17,7 +17,7 @@
 FORGOTTEN_AFTER_S = 60.0
 
 
-class HostNews(NamedTuple):
+class HostStatus(NamedTuple):
     """What a host says of itself.
 
     Attributes
@@ -26,7 +26,7 @@
         The host.
     started_ms : int
         Unix time of its process's start; a newer one replaces an older.
-    beat : int
+    sequence : int
         Grows with each message of one process.
     ip, zone, callers_address, peers_address : str
         Where it is.
@@ -37,10 +37,10 @@
     endpoints_revision : int
         Revision of the endpoints that it knows.
     capacity : float
-        Work that it can do, in whole classes of hosts; see `capacity_of`.
+        Work that it can do, in whole classes of hosts; see `host_capacity`.
     sees_store : bool
         Whether the store answers it.
-    store_seen_s : float
+    store_reachable_s : float
         For how long no call of its to the store has failed, in seconds.
     period_s : float
         After how long its next message comes at the latest, in seconds.
@@ -50,7 +50,7 @@
 
     name: str
     started_ms: int
-    beat: int
+    sequence: int
     ip: str
     zone: str
     callers_address: str
@@ -60,12 +60,12 @@
     endpoints_revision: int
     capacity: float
     sees_store: bool
-    store_seen_s: float
+    store_reachable_s: float
     period_s: float
     hosts_recorded: int
 
 
-def capacity_of(cores: float, link_mbps: float) -> float:
+def host_capacity(cores: float, link_mbps: float) -> float:
     """Return how strong a host is, in steps, so that like hosts count alike.
 
     Parameters
@@ -101,7 +101,7 @@
         """Note that all records have been read."""
         self._has_read_records = True
 
-    def recorded(self) -> int:
+    def recorded_count(self) -> int:
         """Return how many hosts it knows of by their records, itself among them.
 
         Returns
@@ -111,7 +111,7 @@
         """
         return len(self._known) + 1 if self._has_read_records else 0
 
-    def existing(self) -> int:
+    def existing_count(self) -> int:
         """Return how many hosts may exist, itself among them, alive or not.
 
         For what all hosts share without asking each other: the number doesn't shrink
@@ -123,7 +123,7 @@
             0 when neither this host nor one that it heard of has read the records.
         """
         told = max((news.hosts_recorded for news in self._news.values()), default=0)
-        known = max(told, self.recorded())
+        known = max(told, self.recorded_count())
         return max(known, len(self._known) + 1) if known else 0
 
     def on_record(self, now_s: float, name: str, ip: str) -> None:
@@ -134,13 +134,16 @@
         # One that is never heard of has been silent since its record was found.
         self._heard_s.setdefault(name, now_s)
 
-    def on_news(self, now_s: float, news: HostNews) -> bool:
+    def on_status(self, now_s: float, news: HostStatus) -> bool:
         """Take in a message; say whether it is newer than what is known."""
         if news.name == self._own_name:
             return False
         known = self._news.get(news.name)
         if known is not None:
-            is_older = (news.started_ms, news.beat) <= (known.started_ms, known.beat)
+            is_older = (news.started_ms, news.sequence) <= (
+                known.started_ms,
+                known.sequence,
+            )
             # After a jump of its clock back, a restarted host looks older than its
             # past; once that past has been silent for long it is taken at its word.
             if is_older and now_s - self._heard_s[news.name] < SILENT_AFTER_S:
@@ -152,7 +155,7 @@
         self._known[news.name] = news.ip
         return True
 
-    def drop_forgotten(self, now_s: float, listening_since_s: float) -> list[str]:
+    def drop_silent(self, now_s: float, listening_since_s: float) -> list[str]:
         """Forget hosts that have been silent for long; return their names.
 
         Failure guarded against: hosts that were replaced stay known for ever; each of
@@ -201,7 +204,7 @@
         """Return the IP of each host that may exist, by name."""
         return dict(self._known)
 
-    def live(self, now_s: float) -> list[HostNews]:
+    def live(self, now_s: float) -> list[HostStatus]:
         """Return the hosts that were heard of late."""
         found = []
         for name, news in self._news.items():
@@ -210,7 +213,7 @@
                 found.append(news)
         return found
 
-    def saw_store_since(self, now_s: float, since_s: float) -> bool:
+    def peer_saw_store_since(self, now_s: float, since_s: float) -> bool:
         """Say whether the store has answered another host all the while since a time.
 
         A host whose call hangs takes the store for well until the call fails, so its
@@ -219,13 +222,13 @@
         for news in self.live(now_s):
             if not news.sees_store:
                 continue
-            if self._heard_s[news.name] - news.store_seen_s > since_s:
+            if self._heard_s[news.name] - news.store_reachable_s > since_s:
                 continue
             if self._grown_s.get(news.name, float("-inf")) > since_s:
                 return True
         return False
 
-    def newest(self, now_s: float) -> tuple[int, int]:
+    def newest_versions(self, now_s: float) -> tuple[int, int]:
         """Return the newest configuration and endpoints that a live host knows.
 
         Returns
@@ -239,7 +242,9 @@
             revisions.append(news.endpoints_revision)
         return max(versions), max(revisions)
 
-    def ahead(self, now_s: float, version: int, revision: int) -> list[HostNews]:
+    def hosts_ahead(
+        self, now_s: float, version: int, revision: int
+    ) -> list[HostStatus]:
         """Return the live hosts that know a newer configuration or newer endpoints."""
         found = []
         for news in self.live(now_s):
--- a/libs/routing/gypsumusher_routing/prefixes.py
+++ b/libs/routing/gypsumusher_routing/prefix_cache.py
@@ -2,14 +2,14 @@
 
 from collections import OrderedDict
 
-__all__ = ["PrefixTable"]
+__all__ = ["PrefixCacheEstimate"]
 
 # Share of an engine's memory that is counted on for kept parts: what runs needs memory
 # too, and an engine gives up the least recently used parts for it.
 KEPT_SHARE = 0.8
 
 
-class PrefixTable:
+class PrefixCacheEstimate:
     """Estimate of one engine's cache from what has been sent there.
 
     Parameters
@@ -33,11 +33,11 @@
     def __len__(self):
         return len(self._kept)
 
-    def note(self, parts) -> None:
+    def add_parts(self, parts) -> None:
         """Note that the engine has read, or got, the parts of a prompt."""
-        self.note_chain([part.part_id, part.tokens] for part in parts)
+        self.add_chain([part.part_id, part.tokens] for part in parts)
 
-    def note_chain(self, chain) -> None:
+    def add_chain(self, chain) -> None:
         """Note parts given as pairs of id and tokens, in their order."""
         for key, tokens in chain:
             if key in self._kept:
@@ -49,7 +49,7 @@
             _, tokens = self._kept.popitem(last=False)
             self._tokens -= tokens
 
-    def note_coming(self, chain, until_s: float) -> None:
+    def add_pending(self, chain, until_s: float) -> None:
         """Note parts that the engine is reading now, and until when that may take.
 
         A second prompt with the same parts finds them there when its turn comes, if it
@@ -58,13 +58,13 @@
         for key, _ in chain:
             self._coming_s[key] = max(until_s, self._coming_s.get(key, 0.0))
 
-    def drop_coming(self, now_s: float) -> None:
+    def drop_expired(self, now_s: float) -> None:
         """Forget the parts that should have come by now."""
         self._coming_s = {
             key: until_s for key, until_s in self._coming_s.items() if until_s > now_s
         }
 
-    def kept_tokens(self, parts, coming_after_s=None) -> int:
+    def cached_tokens(self, parts, coming_after_s=None) -> int:
         """Return how many tokens at the start of a prompt the engine keeps.
 
         A part is of use only if all parts before it are kept too.
--- a/libs/routing/gypsumusher_routing/retry_share.py
+++ b/libs/routing/gypsumusher_routing/retry_budget.py
@@ -12,7 +12,7 @@
 
 from typing import NamedTuple
 
-__all__ = ["RetryDecision", "RetryShare"]
+__all__ = ["RetryBudget", "RetryDecision"]
 
 # Part of the operator's bound that is used: a send may arrive some time after its retry
 # was taken, and falls into a later window then.
@@ -40,12 +40,12 @@
     """
 
     is_allowed: bool
-    left: float
-    most: float
+    retries_left: float
+    max_retries: float
     hosts: int
 
 
-class RetryShare:
+class RetryBudget:
     """This host's retries of one service.
 
     Parameters
@@ -67,7 +67,7 @@
         self._tokens = 0.0
         self._at_s = started_s
 
-    def on_first(self, now_s: float, hosts: int) -> None:
+    def on_first_send(self, now_s: float, hosts: int) -> None:
         """Count the first send of a request; parameters as of `take`."""
         most = self._refill(now_s, hosts)
         self._tokens = min(most, self._tokens + USED_PART * self._ratio)
--- a/libs/routing/gypsumusher_routing/send_account.py
+++ b/libs/routing/gypsumusher_routing/send_counter.py
@@ -1,9 +1,9 @@
 """The sends of one request, as the operator's bound on retries counts them."""
 
-__all__ = ["SendAccount"]
+__all__ = ["SendCounter"]
 
 
-class SendAccount:
+class SendCounter:
     """Counts what reaches endpoints, whatever they make of it.
 
     The bound is on arrivals: a call that an endpoint rejects is one, a connection that
--- a/libs/routing/gypsumusher_routing/stage_order.py
+++ b/libs/routing/gypsumusher_routing/stage_order.py
@@ -49,7 +49,7 @@
         self._step = ASK
 
     @property
-    def may_be_taken(self) -> bool:
+    def may_take_effect(self) -> bool:
         """Whether the engine may be on its way to the new stage."""
         return self.sends > 0 and self._step != GIVEN_UP
 
--- a/libs/routing/gypsumusher_routing/stage_plan.py
+++ b/libs/routing/gypsumusher_routing/stage_plan.py
@@ -32,7 +32,7 @@
         The engine.
     stage : {"prefill", "decode"}
         Its stage, or the one that it is changing to.
-    is_sound : bool
+    is_healthy : bool
         Whether it takes work, or will when it has changed.
     is_leaving : bool
         Whether it is draining.
@@ -44,7 +44,7 @@
 
     endpoint_id: str
     stage: str
-    is_sound: bool
+    is_healthy: bool
     is_leaving: bool
     is_switching: bool
     running: int
@@ -74,7 +74,9 @@
     def __init__(self):
         self._missing_since_s = {}
 
-    def look(self, now_s: float, engines: list[EngineView]) -> StageChange | None:
+    def next_change(
+        self, now_s: float, engines: list[EngineView]
+    ) -> StageChange | None:
         """Return the change to order now, or None.
 
         Parameters
@@ -84,7 +86,7 @@
         engines : list of EngineView
             The service's engines that are known.
         """
-        sound = [engine for engine in engines if engine.is_sound]
+        sound = [engine for engine in engines if engine.is_healthy]
         stages = {engine.stage for engine in sound}
         known = {engine.stage for engine in engines if not engine.is_leaving}
         others = [engine for engine in sound if not engine.is_switching]
--- a/libs/routing/gypsumusher_routing/urgency.py
+++ b/libs/routing/gypsumusher_routing/urgency.py
@@ -59,14 +59,14 @@
 
     Attributes
     ----------
-    wanted_s : float
+    target_s : float
         By when it should come for the last one to come in time, in seconds.
-    given_up_s : float
+    abandoned_s : float
         When the caller gives up, in seconds.
     """
 
-    wanted_s: float
-    given_up_s: float
+    target_s: float
+    abandoned_s: float
 
 
 def abandoned_after_s(objective_s, pause_limit_s):
@@ -142,10 +142,10 @@
     timely_s = lanes_s[0]
     if timely_s <= objective_left_s or not policy.lanes:
         return TIMELY
-    is_too_large = own_s > objective_left_s and timely_s <= limits.wanted_s
+    is_too_large = own_s > objective_left_s and timely_s <= limits.target_s
     if policy.fair_part and is_too_large and chance < FAIR_PART:
         return TIMELY
-    is_hopeless = lanes_s[-1] > HOPELESS_FACTOR * limits.given_up_s
+    is_hopeless = lanes_s[-1] > HOPELESS_FACTOR * limits.abandoned_s
     if policy.early_refusal and is_hopeless:
         return HOPELESS
     return LATE
--- a/libs/routing/gypsumusher_routing/news_lag.py
+++ b/libs/routing/gypsumusher_routing/version_lag.py
@@ -5,10 +5,10 @@
 like any other and serves its callers by what is long over.
 """
 
-__all__ = ["NewsLag"]
+__all__ = ["VersionLag"]
 
 
-class NewsLag:
+class VersionLag:
     """The lag of one kind of news, whose versions are numbers that only grow.
 
     It counts from the moment at which a peer first told of a version until that one is
@@ -21,7 +21,7 @@
         self._since_s = 0.0
         self.lag_s = 0.0
 
-    def on_heard(self, now_s: float, known: int, newest: int) -> float:
+    def update(self, now_s: float, known: int, newest: int) -> float:
         """Take in what is known here and at the peers; return the lag, in seconds.
 
         Parameters
--- a/libs/routing/tests/test_endpoint_changes.py
+++ b/libs/routing/tests/test_endpoint_changes.py
@@ -14,7 +14,7 @@
 
 
 def listed(table):
-    return {record.endpoint_id: record for record in table.listed()}
+    return {record.endpoint_id: record for record in table.listed_records()}
 
 
 def told(table):
@@ -33,7 +33,7 @@
         self.now_s = 0.0
         self.is_watching = True
         self.tables = [EndpointTable() for _ in range(HOSTS)]
-        self.tables[0].on_listing(0.0, [], 1)
+        self.tables[0].on_full_list(0.0, [], 1)
 
     def _change(self, endpoint_id, record):
         self.revision += 1
@@ -76,7 +76,7 @@
     @rule()
     def list_again(self):
         self.is_watching = True
-        self.tables[0].on_listing(self.now_s, self.entries.values(), self.revision)
+        self.tables[0].on_full_list(self.now_s, self.entries.values(), self.revision)
 
     @rule(number=st.integers(1, HOSTS - 1))
     def restart_host(self, number):
@@ -88,9 +88,9 @@
         peer, table = self.tables[number - 1], self.tables[number]
         if peer.revision <= table.revision:
             return
-        changes = peer.changes_beyond(table.revision) if takes_changes else None
+        changes = peer.changes_since(table.revision) if takes_changes else None
         if changes is None:
-            table.on_listing(self.now_s, peer.listed(), peer.revision)
+            table.on_full_list(self.now_s, peer.listed_records(), peer.revision)
         else:
             table.on_changes(self.now_s, *changes, peer.revision)
         assert told(table) == told(peer)
@@ -115,43 +115,43 @@
     """A host had heard of an endpoint from a peer, and never heard that it left."""
     record = EndpointRecord("e-1", 1, "svc", "10.0.0.1:80", "a", 6, False, 0, None, 1)
     table = EndpointTable()
-    table.on_listing(0.0, [], 5)
+    table.on_full_list(0.0, [], 5)
     table.on_record(record, 7)
-    assert table.changes_beyond(5) == ([record], [])
-    assert table.changes_beyond(7) == ([], [])
-    table.on_listing(1.0, [], 9)
-    assert table.changes_beyond(7) is None
-    assert table.changes_beyond(9) == ([], [])
+    assert table.changes_since(5) == ([record], [])
+    assert table.changes_since(7) == ([], [])
+    table.on_full_list(1.0, [], 9)
+    assert table.changes_since(7) is None
+    assert table.changes_since(9) == ([], [])
 
 
 def test_a_renewal_that_changes_nothing_is_told_to_nobody():
     """Each renewal of each entry was told to every host."""
     record = EndpointRecord("e-1", 1, "svc", "10.0.0.1:80", "a", 6, False, 0, None, 1)
     table = EndpointTable()
-    table.on_listing(0.0, [record], 5)
+    table.on_full_list(0.0, [record], 5)
     table.on_record(record._replace(beat=2), 6)
-    assert table.changes_beyond(5) == ([], [])
+    assert table.changes_since(5) == ([], [])
 
 
 def test_an_older_answer_of_a_peer_changes_nothing():
     """A peer's late answer brought an endpoint back that had left."""
     record = EndpointRecord("e-1", 1, "svc", "10.0.0.1:80", "a", 6, False, 0, None, 1)
     table = EndpointTable()
-    table.on_listing(0.0, [record], 5)
+    table.on_full_list(0.0, [record], 5)
     table.on_deleted(1.0, "e-1", 8)
     assert table.on_changes(2.0, [record], [], 6) == []
-    assert table.listed() == [] and table.revision == 8
+    assert table.listed_records() == [] and table.revision == 8
 
 
 def test_ids_of_endpoints_that_are_gone_are_kept_in_bounded_number():
     """Endpoints that come and go for days fill the memory of every host."""
     record = EndpointRecord("e-1", 1, "svc", "10.0.0.1:80", "a", 6, False, 0, None, 1)
     table = EndpointTable()
-    table.on_listing(0.0, [], 1)
+    table.on_full_list(0.0, [], 1)
     for number in range(REMOVED_MAX + 1):
         table.on_record(record._replace(endpoint_id=f"e-{number}"), 2 + 2 * number)
         table.on_deleted(0.0, f"e-{number}", 3 + 2 * number)
     # The first one, gone at 3, is forgotten: who knows less is told all.
-    assert table.changes_beyond(2) is None
-    changed, removed = table.changes_beyond(3)
+    assert table.changes_since(2) is None
+    changed, removed = table.changes_since(3)
     assert (changed, len(removed)) == ([], REMOVED_MAX)
--- a/libs/routing/tests/test_endpoint_table.py
+++ b/libs/routing/tests/test_endpoint_table.py
@@ -40,9 +40,9 @@
     # The store is down for longer than entries live. On its return its list is empty,
     # while all endpoints serve: dropping them would refuse everything for two seconds.
     table = EndpointTable()
-    table.on_listing(0.0, [record(), record("e-2", address="10.0.0.2:80")], 10)
+    table.on_full_list(0.0, [record(), record("e-2", address="10.0.0.2:80")], 10)
     table.on_store_returned(100.0)
-    table.on_listing(100.0, [], 20)
+    table.on_full_list(100.0, [], 20)
     assert usable(table) == ["e-1", "e-2"]
     table.on_record(record("e-2", beat=2, address="10.0.0.2:80"), 21)
     assert table.drop_missing(101.0) == []
@@ -55,12 +55,12 @@
     # back; the others have it from them, and dropped every endpoint at once.
     table = EndpointTable()
     both = [record(), record("e-2", address="10.0.0.2:80")]
-    table.on_listing(0.0, both, 10)
-    assert table.on_part([record(beat=2, leaving=True)], 20) == ["e-1"]
+    table.on_full_list(0.0, both, 10)
+    assert table.on_partial_list([record(beat=2, leaving=True)], 20) == ["e-1"]
     assert usable(table) == ["e-2"]
     # The whole list of the same revision still counts, an older part doesn't.
-    assert table.on_part([record("e-3", address="10.0.0.3:80")], 9) == []
-    table.on_listing(3.0, [record(beat=3, leaving=True)], 20)
+    assert table.on_partial_list([record("e-3", address="10.0.0.3:80")], 9) == []
+    table.on_full_list(3.0, [record(beat=3, leaving=True)], 20)
     assert usable(table) == []
 
 
@@ -69,31 +69,31 @@
     # the missing entry for a while, in case the store had lost it; its peers, which
     # had dropped the endpoint, heard of it from this host and sent it work again.
     table = EndpointTable()
-    table.on_listing(0.0, [record(), record("e-2", address="10.0.0.2:80")], 10)
+    table.on_full_list(0.0, [record(), record("e-2", address="10.0.0.2:80")], 10)
     table.on_store_returned(100.0)
-    table.on_listing(100.0, [record("e-2", address="10.0.0.2:80")], 20)
+    table.on_full_list(100.0, [record("e-2", address="10.0.0.2:80")], 20)
     assert usable(table) == ["e-1", "e-2"]
-    assert [item.endpoint_id for item in table.listed()] == ["e-2"]
-    assert table.is_in_grace(101.0) and not table.is_in_grace(103.0)
+    assert [item.endpoint_id for item in table.listed_records()] == ["e-2"]
+    assert table.is_in_grace_period(101.0) and not table.is_in_grace_period(103.0)
 
 
 def test_an_entry_that_goes_while_the_store_is_well_is_gone():
     table = EndpointTable()
-    table.on_listing(0.0, [record()], 10)
+    table.on_full_list(0.0, [record()], 10)
     table.on_deleted(5.0, "e-1", 11)
     assert usable(table) == []
 
 
 def test_a_stale_list_changes_nothing():
     table = EndpointTable()
-    table.on_listing(0.0, [record()], 10)
+    table.on_full_list(0.0, [record()], 10)
     table.on_deleted(1.0, "e-1", 11)
-    table.on_listing(2.0, [record()], 10)
+    table.on_full_list(2.0, [record()], 10)
     assert usable(table) == []
 
 
 def test_an_endpoint_whose_address_another_has_gets_nothing():
     table = EndpointTable()
-    table.on_listing(0.0, [record()], 10)
+    table.on_full_list(0.0, [record()], 10)
     table.on_wrong_endpoint("e-1")
     assert usable(table) == []
--- a/libs/routing/tests/test_engine_choice.py
+++ b/libs/routing/tests/test_engine_choice.py
@@ -7,16 +7,16 @@
     HOPELESS,
     LATE,
     TIMELY,
+    CostModel,
+    EnginePool,
     FirstEventLimits,
-    Fleet,
-    Learnt,
-    SeenReading,
-    Wish,
+    PrefillObservation,
+    RoutingRequest,
     choose_decode,
-    choose_reading,
+    choose_prefill,
 )
 from gypsumusher_routing.endpoint_state import Load
-from gypsumusher_routing.estimates import Pace
+from gypsumusher_routing.estimates import Slowdown
 
 
 def learnt_machine():
@@ -25,13 +25,15 @@
     A prompt takes 90 ms and 20 ms for each thousand tokens, at an engine that makes
     tokens twice as long.
     """
-    learnt = Learnt()
+    learnt = CostModel()
     for number in range(200):
         new_tokens = 500 + 97 * (number % 60)
         for stage, factor in (("prefill", 1.0), ("decode", 2.0)):
             took_s = 0.09 + factor * new_tokens * 20e-6
-            seen = SeenReading(stage, LATE, new_tokens, 0, 0.0, took_s, 0.0, took_s)
-            learnt.on_reading(0.0, Pace(), seen)
+            seen = PrefillObservation(
+                stage, LATE, new_tokens, 0, 0.0, took_s, 0.0, took_s
+            )
+            learnt.on_prefill(0.0, Slowdown(), seen)
     return learnt
 
 
@@ -39,17 +41,17 @@
 
 
 def fleet_of(states):
-    return Fleet(states, LIMITS, LEARNT, "a", 50)
+    return EnginePool(states, LIMITS, LEARNT, "a", 50)
 
 
 def wish_for(generation, objective_s=0.8, limit_s=ENDLESS_S, events=1.0):
     limits = FirstEventLimits(limit_s, limit_s)
-    return Wish(generation, objective_s, objective_s, limits, events)
+    return RoutingRequest(generation, objective_s, objective_s, limits, events)
 
 
 def choose(states, generation, objective_s=0.8, limit_s=ENDLESS_S, now_s=0.0):
     wish = wish_for(generation, objective_s, limit_s)
-    return choose_reading(now_s, fleet_of(states), wish, first_of_all)
+    return choose_prefill(now_s, fleet_of(states), wish, first_of_all)
 
 
 def test_nothing_is_read_where_nothing_can_make_tokens():
@@ -65,20 +67,20 @@
     decode.own_running = 8
     prefill = engine("p")
     long = prompt(1, 13_000, 3700)
-    assert choose([prefill, decode], long).is_apart
-    prefill.begin_reading(0.8, TIMELY)
+    assert choose([prefill, decode], long).is_disaggregated
+    prefill.begin_prefill(0.8, TIMELY)
     short = prompt(2, 350, 1100)
-    assert not choose([prefill, decode], short).is_apart
+    assert not choose([prefill, decode], short).is_disaggregated
 
 
 def test_a_prompt_goes_where_its_parts_are_kept():
     first, second, decode = engine("p1"), engine("p2"), engine("d", "decode")
     generation = prompt(1, 13_000, 3700)
-    first.prefixes.note(generation.parts)
+    first.prefixes.add_parts(generation.parts)
     again = prompt(1, 13_000, 3800)
     reading = choose([first, second, decode], again)
     assert reading.state is first
-    assert reading.kept_tokens == 13_000
+    assert reading.cached_tokens == 13_000
 
 
 def test_kept_parts_are_fetched_when_their_engine_is_behind():
@@ -86,13 +88,13 @@
     # idle. Reading it again elsewhere takes 300 ms, fetching it 5.
     first, second, decode = engine("p1"), engine("p2"), engine("d", "decode")
     generation = prompt(1, 13_000, 3700)
-    first.prefixes.note(generation.parts)
-    first.begin_reading(1.2, TIMELY)
+    first.prefixes.add_parts(generation.parts)
+    first.begin_prefill(1.2, TIMELY)
     again = prompt(1, 13_000, 3800)
     reading = choose([first, second, decode], again)
     assert reading.state is second
     assert reading.fetch_from is first
-    assert reading.kept_tokens == 13_000
+    assert reading.cached_tokens == 13_000
 
 
 def test_a_part_that_is_being_read_is_waited_for_there():
@@ -101,11 +103,13 @@
     first, second, decode = engine("p1"), engine("p2"), engine("d", "decode")
     generation = prompt(1, 13_000, 1000)
     chain = [[generation.parts[0].part_id, 13_000]]
-    first.prefixes.note_coming(chain, until_s=1.0)
-    first.begin_reading(0.14, TIMELY)
+    first.prefixes.add_pending(chain, until_s=1.0)
+    first.begin_prefill(0.14, TIMELY)
     reading = choose([first, second, decode], generation, now_s=0.5)
     assert reading.state is first
-    assert choose([first, second, decode], generation, now_s=1.5).kept_tokens < (13_000)
+    assert choose([first, second, decode], generation, now_s=1.5).cached_tokens < (
+        13_000
+    )
 
 
 def test_the_load_that_peers_told_counts():
@@ -119,7 +123,7 @@
     assert choose(states, generation, now_s=0.1).state is second
     # A peer that has gone silent has nothing under way any more.
     first.on_peer_load(0.0, "host-2", Load(3, 3, (1.8, 0.0)))
-    second.begin_reading(0.6, TIMELY)
+    second.begin_prefill(0.6, TIMELY)
     assert choose(states, generation, now_s=5.0).state is first
 
 
@@ -129,15 +133,15 @@
     generation = prompt(1, 13_000, 3700)
     states = [prefill, decode]
     assert choose(states, generation).lane == TIMELY
-    prefill.begin_reading(1.2, TIMELY)
+    prefill.begin_prefill(1.2, TIMELY)
     assert choose(states, generation, limit_s=10.0).lane == LATE
     # What is late already is no reason for another prompt to be late.
-    prefill.end_reading(1.2, TIMELY)
-    prefill.begin_reading(4, LATE)
+    prefill.end_prefill(1.2, TIMELY)
+    prefill.begin_prefill(4, LATE)
     assert choose(states, generation).lane == TIMELY
     # Behind all of these its caller would have left: it is refused now.
-    prefill.begin_reading(1.2, TIMELY)
-    decode.begin_reading(4, LATE)
+    prefill.begin_prefill(1.2, TIMELY)
+    decode.begin_prefill(4, LATE)
     assert choose(states, generation, limit_s=3.0).lane == HOPELESS
 
 
@@ -146,7 +150,7 @@
     first, second, decode = engine("p1"), engine("p2"), engine("d", "decode")
     decode.own_running = 8
     generation = prompt(1, 13_000, 3700)
-    first.prefixes.note(generation.parts[:1])
+    first.prefixes.add_parts(generation.parts[:1])
     first.health.on_failure(0.0, "silent")
     states = [first, second, decode]
     reading = choose(states, generation)
@@ -172,11 +176,11 @@
     # Waiting for the own zone's engine is not worth it.
     near, far, decode = engine("p1"), engine("p2", zone="b"), engine("d", "decode")
     generation = prompt(1, 13_000, 3700)
-    far.prefixes.note(generation.parts[:1])
-    near.prefixes.note(generation.parts[:1])
+    far.prefixes.add_parts(generation.parts[:1])
+    near.prefixes.add_parts(generation.parts[:1])
     states = [far, near, decode]
     assert choose(states, generation).state is near
-    near.begin_reading(0.1, TIMELY)
+    near.begin_prefill(0.1, TIMELY)
     assert choose(states, generation).state is far
 
 
@@ -185,12 +189,12 @@
     # reading is long, but together they slow the streams until they miss their ends.
     prefill, decode = engine("p"), engine("d", "decode")
     decode.own_running = 40
-    prefill.begin_reading(0.3, TIMELY)
+    prefill.begin_prefill(0.3, TIMELY)
     generation = prompt(1, 300, 1000)
-    assert not choose([prefill, decode], generation).is_apart
+    assert not choose([prefill, decode], generation).is_disaggregated
     for _ in range(200):
         decode.on_event_gap(0.11, 0.1)
-    assert choose([prefill, decode], generation).is_apart
+    assert choose([prefill, decode], generation).is_disaggregated
 
 
 def test_long_answers_go_where_streams_are_under_less_strain():
@@ -202,7 +206,7 @@
 
     def chosen(events):
         wish = wish_for(generation, events=events)
-        return choose_reading(0.0, fleet_of([busy, calm]), wish, first_of_all).state
+        return choose_prefill(0.0, fleet_of([busy, calm]), wish, first_of_all).state
 
     assert chosen(90.0) is calm
 
@@ -211,9 +215,9 @@
 def test_an_engine_that_was_slow_of_late_is_expected_to_be_slow(queue_s):
     slow, usual, decode = engine("p1"), engine("p2"), engine("d", "decode")
     decode.own_running = 40
-    usual.begin_reading(queue_s, TIMELY)
+    usual.begin_prefill(queue_s, TIMELY)
     for _ in range(10):
-        slow.pace.learn(0.0, 1.0, 0.15)
+        slow.slowdown.learn(0.0, 1.0, 0.15)
     reading = choose([slow, usual, decode], prompt(1, 300, 3000))
     assert reading.state is usual
 
@@ -224,11 +228,11 @@
     generation = prompt(1, 13_000, 17_000)
     states = [engine("p"), engine("d", "decode")]
     wish = wish_for(generation, 0.1, 0.6)
-    fleet = fleet_of(states)._replace(learnt=Learnt())
-    assert choose_reading(0.0, fleet, wish, first_of_all).lane == LATE
+    fleet = fleet_of(states)._replace(cost_model=CostModel())
+    assert choose_prefill(0.0, fleet, wish, first_of_all).lane == LATE
     # What is known to come too late is refused at once.
     wish = wish_for(generation, 0.1, 0.4)
-    assert choose_reading(0.0, fleet_of(states), wish, first_of_all).lane == HOPELESS
+    assert choose_prefill(0.0, fleet_of(states), wish, first_of_all).lane == HOPELESS
 
 
 def test_late_prompts_leave_places_and_connections_to_timely_ones():
@@ -237,9 +241,9 @@
     # have been read at once were refused for want of one.
     def lane_with(**fields):
         prefill, decode = engine("p", slots=48), engine("d", "decode")
-        prefill.begin_reading(0.7, TIMELY)
-        prefill.begin_reading(0.7, LATE)
-        decode.begin_reading(0.9, TIMELY)
+        prefill.begin_prefill(0.7, TIMELY)
+        prefill.begin_prefill(0.7, LATE)
+        decode.begin_prefill(0.9, TIMELY)
         decode.own_running = 40
         for name, value in fields.items():
             setattr(prefill, name, value)
--- a/libs/routing/tests/test_estimates.py
+++ b/libs/routing/tests/test_estimates.py
@@ -4,7 +4,12 @@
 
 import pytest
 
-from gypsumusher_routing.estimates import EventTokens, Pace, Quantile, ReadingCost
+from gypsumusher_routing.estimates import (
+    PrefillCostModel,
+    RunningQuantile,
+    Slowdown,
+    TokensPerEvent,
+)
 
 # Machines unlike each other: a part a prompt, a thousand tokens, a million pairs, in
 # seconds. Small models on fast machines, and large ones on slow machines.
@@ -30,7 +35,7 @@
 
 @pytest.mark.parametrize("machine", MACHINES)
 def test_a_machine_is_known_after_a_hundred_answers(machine):
-    cost = ReadingCost()
+    cost = PrefillCostModel()
     noise = random.Random(2)
     for new_tokens, kept_tokens in prompts(100):
         took_s = takes_s(machine, new_tokens, kept_tokens) * noise.uniform(0.9, 1.3)
@@ -47,7 +52,7 @@
 
 
 def test_one_stalled_answer_changes_little():
-    cost = ReadingCost()
+    cost = PrefillCostModel()
     for new_tokens, kept_tokens in prompts(100):
         cost.learn(new_tokens, kept_tokens, takes_s(MACHINES[0], new_tokens, 0))
     before_s = cost.expected_s(3000, 6300)
@@ -56,7 +61,7 @@
 
 
 def test_a_model_that_is_replaced_by_a_slower_one_is_noticed():
-    cost = ReadingCost()
+    cost = PrefillCostModel()
     for new_tokens, kept_tokens in prompts(300):
         took_s = takes_s(MACHINES[0], new_tokens, kept_tokens)
         cost.learn(new_tokens, kept_tokens, took_s)
@@ -68,7 +73,7 @@
 
 
 def test_a_slow_engine_is_told_apart_within_ten_answers_and_tried_again_later():
-    pace = Pace()
+    pace = Slowdown()
     for _ in range(10):
         pace.learn(1.0, 0.25, 0.05)
     assert pace.factor(1.0) > 3.0
@@ -77,7 +82,7 @@
 
 def test_a_quantile_follows_what_is_seen():
     draws = random.Random(4)
-    quantile = Quantile(0.8, 1.0, 0.1, 50.0)
+    quantile = RunningQuantile(0.8, 1.0, 0.1, 50.0)
     for _ in range(1000):
         quantile.learn(draws.uniform(0.0, 10.0))
     assert 6.5 < quantile.value < 9.5
@@ -87,8 +92,8 @@
     # Callers estimate 5,600 tokens, and the stream has a hundred events. The estimates
     # are right at the median only.
     draws = random.Random(5)
-    tokens = EventTokens()
-    assert tokens.events(5600) is None
+    tokens = TokensPerEvent()
+    assert tokens.expected_events(5600) is None
     for _ in range(100):
         tokens.learn(5600 * draws.lognormvariate(0.0, 0.5), 100)
-    assert tokens.events(5600) == pytest.approx(100, rel=0.3)
+    assert tokens.expected_events(5600) == pytest.approx(100, rel=0.3)
--- a/libs/routing/tests/test_link_share.py
+++ b/libs/routing/tests/test_gossip_rate.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from gypsumusher_routing import LinkShare
+from gypsumusher_routing import GossipRateLimiter
 
 # A message of the loads of thirty engines to each of eleven other active hosts.
 MESSAGE_BYTES, HOSTS = 900, 11
@@ -12,9 +12,9 @@
 
 def told_a_second(link_mbps):
     """Return how many messages a host sends whose loads change all the time."""
-    share, told = LinkShare(link_mbps), 0
+    share, told = GossipRateLimiter(link_mbps), 0
     for look in range(20):
-        if share.is_free(look * LOOK_S):
+        if share.may_send(look * LOOK_S):
             share.on_sent(look * LOOK_S, HOSTS * MESSAGE_BYTES)
             told += HOSTS
     return told
@@ -35,8 +35,8 @@
 
 
 def test_a_share_that_was_at_rest_saves_nothing_up():
-    share = LinkShare(5.0)
+    share = GossipRateLimiter(5.0)
     share.on_sent(0.0, MESSAGE_BYTES)
     share.on_sent(100.0, HOSTS * MESSAGE_BYTES)
-    assert not share.is_free(100.1)
-    assert share.is_free(101.0)
+    assert not share.may_send(100.1)
+    assert share.may_send(101.0)
--- a/libs/routing/tests/test_many_hosts.py
+++ b/libs/routing/tests/test_many_hosts.py
@@ -5,21 +5,21 @@
 
 from gypsumusher_routing import (
     TIMELY,
+    CostModel,
     EndpointTable,
-    HostNews,
-    Learnt,
+    HostStatus,
     Load,
-    SeenReading,
-    choose_active,
+    PrefillObservation,
+    choose_active_hosts,
 )
-from gypsumusher_routing.estimates import Pace
+from gypsumusher_routing.estimates import Slowdown
 
 HOSTS, ENGINES = 195, 59
 NOW_S = 10.0
 
 
 def host(number, capacity):
-    return HostNews(
+    return HostStatus(
         f"host-{number}", 1, 1, "10.0.0.1", "abcde"[number % 5], "", "", True, 1, 1,
         capacity, True, 1.0, 0.45, 0,
     )  # fmt: skip
@@ -92,39 +92,43 @@
 def test_a_host_that_hears_of_the_active_ones_alone_names_all_of_them(strong, weak):
     """Callers of two hundred hosts were sent to five: a part of a part."""
     hosts = fleet(strong, weak)
-    active = choose_active(hosts)
+    active = choose_active_hosts(hosts)
     assert len(active) >= 15
     quiet = next(news for news in hosts if news not in active)
-    assert choose_active([*active, quiet], len(hosts)) == active
+    assert choose_active_hosts([*active, quiet], len(hosts)) == active
 
 
 def test_strong_hosts_take_the_callers_alone_where_they_are_some():
     """Weak hosts tell of their readings late, and send to engines that are busy."""
-    active = choose_active(fleet(15, 180))
+    active = choose_active_hosts(fleet(15, 180))
     assert len(active) == 15
     assert all(news.capacity for news in active)
 
 
 def test_a_few_strong_hosts_do_not_carry_the_load_of_all():
     """Five strong hosts of hundreds would each take seven times its share."""
-    assert len(choose_active(fleet(5, 325))) >= 55
+    assert len(choose_active_hosts(fleet(5, 325))) >= 55
 
 
 def test_an_engine_that_reads_for_other_hosts_too_is_not_silent():
     """Readings that had begun were given up, and read a second time elsewhere."""
-    learnt, expected_s = Learnt(), 0.3
+    learnt, expected_s = CostModel(), 0.3
     # Of ten prompts three meet one that another host has sent at the same time.
     for number in range(400):
         took_s = expected_s * (2.8 if number % 10 < 3 else 0.9)
-        seen = SeenReading("prefill", TIMELY, 4000, 0, 0.0, expected_s, 0.0, took_s)
-        learnt.on_reading(0.05 * number, Pace(), seen)
-    assert learnt.silent_after_s("prefill", expected_s) > 1.5 * 2.8 * expected_s
+        seen = PrefillObservation(
+            "prefill", TIMELY, 4000, 0, 0.0, expected_s, 0.0, took_s
+        )
+        learnt.on_prefill(0.05 * number, Slowdown(), seen)
+    assert learnt.prefill_timeout_s("prefill", expected_s) > 1.5 * 2.8 * expected_s
 
 
 def test_an_engine_that_answers_as_expected_is_soon_known_as_silent():
     """Prompts waited for seconds at an engine that was down."""
-    learnt, expected_s = Learnt(), 0.3
+    learnt, expected_s = CostModel(), 0.3
     for number in range(400):
-        seen = SeenReading("prefill", TIMELY, 4000, 0, 0.0, expected_s, 0.0, expected_s)
-        learnt.on_reading(0.05 * number, Pace(), seen)
-    assert learnt.silent_after_s("prefill", expected_s) < 4.0 * expected_s
+        seen = PrefillObservation(
+            "prefill", TIMELY, 4000, 0, 0.0, expected_s, 0.0, expected_s
+        )
+        learnt.on_prefill(0.05 * number, Slowdown(), seen)
+    assert learnt.prefill_timeout_s("prefill", expected_s) < 4.0 * expected_s
--- a/libs/routing/tests/test_small_decisions.py
+++ b/libs/routing/tests/test_small_decisions.py
@@ -21,13 +21,13 @@
     TIMELY,
     FirstEventLimits,
     Health,
-    HostNews,
+    HostStatus,
     HostTable,
-    PrefixTable,
-    RetryShare,
+    PrefixCacheEstimate,
+    RetryBudget,
     RouteTable,
     abandoned_after_s,
-    choose_active,
+    choose_active_hosts,
     choose_endpoint,
     choose_lane,
     choose_watchers,
@@ -60,7 +60,7 @@
     revision=1,
     store_seen_s=0.0,
 ):
-    return HostNews(
+    return HostStatus(
         name, started_ms, beat, "10.0.0.1", zone, f"{name}:1", f"{name}:2", ready,
         version, revision, capacity, True, store_seen_s, 0.4, 0,
     )  # fmt: skip
@@ -78,25 +78,25 @@
     for number in range(60):
         capacity = 0.0 if number % 4 == 0 else 1.0
         hosts.append(news(f"h{number}", zone="abc"[number % 3], capacity=capacity))
-    active = choose_active(hosts)
+    active = choose_active_hosts(hosts)
     assert {host.zone for host in active} == {"a", "b", "c"}
     assert all(host.capacity for host in active)
     assert 9 <= len(active) <= 12
     # All hosts come to the same choice, whatever order they heard the others in.
-    assert choose_active(hosts[::-1]) == active
+    assert choose_active_hosts(hosts[::-1]) == active
     # One that falls silent is replaced, and the others stay.
     left = [host for host in hosts if host != active[0]]
-    assert len(set(active) & set(choose_active(left))) == len(active) - 1
+    assert len(set(active) & set(choose_active_hosts(left))) == len(active) - 1
     assert len(choose_watchers(active)) == 3
 
 
 def test_of_a_few_hosts_some_of_each_zone_are_active():
     # Losing any number of them must leave some; the others take their places.
     hosts = [news(f"h{number}", zone="abcd"[number % 4]) for number in range(8)]
-    active = choose_active(hosts)
+    active = choose_active_hosts(hosts)
     assert sorted(host.zone for host in active) == ["a", "b", "c", "d"]
     left = [host for host in hosts if host not in active]
-    assert choose_active(left) == left or len(choose_active(left)) == 4
+    assert choose_active_hosts(left) == left or len(choose_active_hosts(left)) == 4
 
 
 def test_the_longest_prefix_wins_and_a_query_does_not_count():
@@ -123,12 +123,12 @@
     # An endpoint fails everything under full load. Eight hosts retry each failure;
     # without a common bound the retries alone would fill the endpoints.
     hosts = 8
-    shares = [RetryShare(0.2, 54, 10.0, started_s=-100.0) for _ in range(hosts)]
+    shares = [RetryBudget(0.2, 54, 10.0, started_s=-100.0) for _ in range(hosts)]
     retries = requests = 0
     for step in range(1000):
         now_s = step * 0.01
         for share in shares:
-            share.on_first(now_s, hosts)
+            share.on_first_send(now_s, hosts)
             requests += 1
             retries += share.take(now_s, hosts).is_allowed
     assert 0 < retries <= 0.2 * requests + 54
@@ -137,7 +137,7 @@
 def test_a_host_that_starts_anew_brings_no_fresh_slack():
     # Hosts are killed again and again. Each start would bring its part of the slack
     # anew, and the sum over a window would pass the bound.
-    share = RetryShare(0.2, 54, 10.0, started_s=100.0)
+    share = RetryBudget(0.2, 54, 10.0, started_s=100.0)
     assert not share.take(100.0, 1).is_allowed
     assert share.take(105.0, 1).is_allowed
 
@@ -155,25 +155,25 @@
 
 def test_what_a_peer_saw_of_an_endpoint_counts_here():
     health = Health()
-    health.on_peer(0.0, "host-2", 1.0)
+    health.on_peer_penalty(0.0, "host-2", 1.0)
     assert health.is_avoided(0.1)
-    assert health.own(0.1) == 0.0
-    health.on_peer(0.2, "host-2", 0.0)
+    assert health.own_penalty(0.1) == 0.0
+    health.on_peer_penalty(0.2, "host-2", 0.0)
     assert not health.is_avoided(0.2)
 
 
 def test_a_silent_host_is_not_named_to_callers():
     table = HostTable("host-1")
-    table.on_news(0.0, news("host-2"))
-    table.on_news(0.0, news("host-3", ready=False))
+    table.on_status(0.0, news("host-2"))
+    table.on_status(0.0, news("host-3", ready=False))
     assert names(table, 1.0) == ["host-2"]
     assert names(table, 5.0) == []
 
 
 def test_a_message_that_was_overtaken_changes_nothing():
     table = HostTable("host-1")
-    table.on_news(0.0, news("host-2", beat=7, ready=False))
-    assert not table.on_news(0.1, news("host-2", beat=6))
+    table.on_status(0.0, news("host-2", beat=7, ready=False))
+    assert not table.on_status(0.1, news("host-2", beat=6))
     assert names(table, 0.2) == []
 
 
@@ -181,28 +181,28 @@
     # A host restarts after its clock has jumped back: its messages look older than
     # those of its past. It would stay out of the directory for good.
     table = HostTable("host-1")
-    table.on_news(0.0, news("host-2", beat=70, started_ms=9000))
-    assert not table.on_news(0.5, news("host-2", beat=1, started_ms=5000))
-    assert table.on_news(2.0, news("host-2", beat=4, started_ms=5000))
+    table.on_status(0.0, news("host-2", beat=70, started_ms=9000))
+    assert not table.on_status(0.5, news("host-2", beat=1, started_ms=5000))
+    assert table.on_status(2.0, news("host-2", beat=4, started_ms=5000))
     assert names(table, 2.1) == ["host-2"]
 
 
 def test_a_store_that_answers_a_peer_all_the_while_was_not_away():
     """A host whose own call failed kept endpoints that had left meanwhile."""
     table = HostTable("me")
-    table.on_news(9.0, news("h1", store_seen_s=5.0))
-    table.on_news(11.0, news("h1", beat=2, store_seen_s=7.0, revision=2))
-    assert table.saw_store_since(11.1, since_s=10.0)
+    table.on_status(9.0, news("h1", store_seen_s=5.0))
+    table.on_status(11.0, news("h1", beat=2, store_seen_s=7.0, revision=2))
+    assert table.peer_saw_store_since(11.1, since_s=10.0)
     # It has heard nothing since: its own call may hang at a store that is away.
-    assert not table.saw_store_since(11.1, since_s=11.05)
+    assert not table.peer_saw_store_since(11.1, since_s=11.05)
 
 
 def test_a_store_that_came_back_for_a_peer_too_was_away():
     """Endpoints whose entries had lapsed were dropped at the store's return."""
     table = HostTable("me")
-    table.on_news(9.0, news("h1", store_seen_s=5.0))
-    table.on_news(11.0, news("h1", beat=2, store_seen_s=0.3, revision=2))
-    assert not table.saw_store_since(11.1, since_s=10.0)
+    table.on_status(9.0, news("h1", store_seen_s=5.0))
+    table.on_status(11.0, news("h1", beat=2, store_seen_s=0.3, revision=2))
+    assert not table.peer_saw_store_since(11.1, since_s=10.0)
 
 
 def test_a_host_that_is_gone_for_good_is_forgotten():
@@ -211,11 +211,11 @@
     table = HostTable("host-1")
     table.on_record(0.0, "host-2", "10.0.0.2")
     table.on_record(0.0, "host-3", "10.0.0.3")
-    table.on_news(50.0, news("host-3"))
-    assert table.drop_forgotten(59.0, 0.0) == []
-    assert table.drop_forgotten(61.0, 0.0) == ["host-2"]
+    table.on_status(50.0, news("host-3"))
+    assert table.drop_silent(59.0, 0.0) == []
+    assert table.drop_silent(61.0, 0.0) == ["host-2"]
     assert list(table.addresses()) == ["host-3"]
-    assert table.drop_forgotten(111.0, 0.0) == ["host-3"]
+    assert table.drop_silent(111.0, 0.0) == ["host-3"]
     assert not table.addresses()
 
 
@@ -269,7 +269,7 @@
     # A caller comes back with two seconds left and an estimate of 300 tokens, which
     # would take three. Half of the estimates are too high: it is served, and not
     # refused for what it may turn out to be.
-    limits = FirstEventLimits(wanted_s=-1.0, given_up_s=2.0)
+    limits = FirstEventLimits(target_s=-1.0, abandoned_s=2.0)
     assert lane_of(0.2, 0.7, 1.2, limits=limits) == LATE
 
 
@@ -291,12 +291,12 @@
 def test_a_cache_never_counts_more_than_its_memory_nor_a_part_without_its_prefix(
     prompts, asked
 ):
-    table = PrefixTable(1000)
+    table = PrefixCacheEstimate(1000)
     for parts in prompts:
-        table.note(parts)
+        table.add_parts(parts)
         assert table._tokens <= 800
         assert table._tokens == sum(table._kept.values())
-    kept = table.kept_tokens(asked)
+    kept = table.cached_tokens(asked)
     starts = [sum(part.tokens for part in asked[:end]) for end in range(5)]
     assert kept in starts
 
--- a/libs/routing/tests/test_stage_order.py
+++ b/libs/routing/tests/test_stage_order.py
@@ -54,7 +54,7 @@
         if order.next_step(now_s) == SEND:
             order.on_send(now_s)
     assert order.next_step(3.6) == GIVEN_UP
-    assert not order.may_be_taken
+    assert not order.may_take_effect
 
 
 @pytest.mark.parametrize("outcome", [OrderOutcome.REFUSED, OrderOutcome.CONFLICT])
--- a/libs/routing/tests/test_stage_plan.py
+++ b/libs/routing/tests/test_stage_plan.py
@@ -16,7 +16,7 @@
     """Look five times a second; return what is planned first, and when."""
     for step in range(int(for_s * 5)):
         now_s = from_s + step / 5
-        change = planner.look(now_s, engines)
+        change = planner.next_change(now_s, engines)
         if change is not None:
             return change, now_s
     return None, None
