--- a/libs/entry/gypsumusher_entry/web.py
+++ b/libs/entry/gypsumusher_entry/host_api.py
@@ -2,17 +2,17 @@
 
 import json
 
-from gypsumusher_entry.belief_messages import BeliefEncoder, Beliefs
-from gypsumusher_entry.peer_beliefs import BELIEFS_PATH
-from gypsumusher_platform import READY_PATH, RESOLVE_PATH, encode_hosts
+from gypsumusher_entry.peer_sync import PEER_SYNC_PATH
+from gypsumusher_entry.sync_messages import SyncResponse, SyncResponseEncoder
+from gypsumusher_platform import READY_PATH, RESOLVE_PATH, encode_host_list
 
-__all__ = ["create_web_handler"]
+__all__ = ["create_api_handler"]
 
 _JSON = ("Content-Type", "application/json")
 _MSGPACK = ("Content-Type", "application/msgpack")
 
 
-def create_web_handler(context):
+def create_api_handler(context):
     """Return the coroutine that answers one request.
 
     Parameters
@@ -25,7 +25,7 @@
     callable
         ``handle(request, reply)``.
     """
-    encoder = BeliefEncoder()
+    encoder = SyncResponseEncoder()
 
     def answer_ready(_):
         status = 200 if context.is_ready else 503
@@ -36,7 +36,7 @@
         if not addresses:
             addresses = [context.settings.callers_address]
         addresses.sort(key=lambda _: context.draw())
-        hosts = encode_hosts(addresses, context.directory_ttl_s())
+        hosts = encode_host_list(addresses, context.directory_ttl_s())
         return 200, [_JSON], _encode_json(hosts)
 
     def answer_beliefs(query):
@@ -57,7 +57,7 @@
     answers = {
         READY_PATH: answer_ready,
         RESOLVE_PATH: answer_hosts,
-        BELIEFS_PATH: answer_beliefs,
+        PEER_SYNC_PATH: answer_beliefs,
         "/metrics": answer_metrics,
     }
 
@@ -65,12 +65,12 @@
         path, _, query = request.target.partition("?")
         answer = answers.get(path)
         if answer is None:
-            reply.send_whole(404, [_JSON], _encode_json({"error": "no such path"}))
+            reply.send(404, [_JSON], _encode_json({"error": "no such path"}))
             return
         if request.method not in ("GET", "HEAD"):
-            reply.send_whole(405, [("Allow", "GET, HEAD")], b"")
+            reply.send(405, [("Allow", "GET, HEAD")], b"")
             return
-        reply.send_whole(*answer(query))
+        reply.send(*answer(query))
 
     return handle
 
@@ -92,15 +92,15 @@
     without a new one.
     """
     endpoints = context.endpoints
-    is_whole = not endpoints.is_in_grace(context.clock())
+    is_whole = not endpoints.is_in_grace_period(context.clock())
     stored = context.configuration_source
     if context.configuration_version <= version:
         stored = None
     records = removed = None
     if endpoints.revision > revision or not is_whole:
-        changes = endpoints.changes_beyond(revision) if is_whole else None
+        changes = endpoints.changes_since(revision) if is_whole else None
         if changes is not None and takes_changes:
             records, removed = map(tuple, changes)
         else:
-            records = tuple(endpoints.listed())
-    return Beliefs(stored, records, endpoints.revision, is_whole, removed)
+            records = tuple(endpoints.listed_records())
+    return SyncResponse(stored, records, endpoints.revision, is_whole, removed)
--- a/libs/entry/gypsumusher_entry/stage_orders.py
+++ b/libs/entry/gypsumusher_entry/stage_orders.py
@@ -2,12 +2,12 @@
 
 import asyncio
 
-from gypsumusher_entry.sending import ask_engine
+from gypsumusher_entry.sending_to_endpoints import call_engine
 from gypsumusher_http import CallError
 from gypsumusher_platform import (
+    decode_engine_report,
     decode_order_status,
-    decode_report,
-    encode_report_call,
+    encode_report_request,
     encode_stage_order,
 )
 from gypsumusher_ports import DecodeError, OrderOutcome
@@ -17,7 +17,7 @@
     GIVEN_UP,
     SEND,
     EngineView,
-    StageNews,
+    OrderedStage,
     StageOrder,
     StagePlanner,
 )
@@ -76,7 +76,7 @@
             if service.engine is None:
                 continue
             planner = self._planners.setdefault(service.name, StagePlanner())
-            change = planner.look(context.clock(), self._views(service.name))
+            change = planner.next_change(context.clock(), self._views(service.name))
             if change is not None:
                 self._begin(service.name, change)
 
@@ -108,19 +108,19 @@
             if state.record.service != service or state.stage is None:
                 continue
             load = state.load(now_s)
-            news = state.stage_news
+            news = state.ordered_stage
             order = self._orders.get(endpoint_id)
             is_switching = order is not None or (news is not None and news.is_switching)
             # One that changes its stage refuses work, which says nothing against it.
             is_sound = is_switching or not state.health.is_avoided(now_s)
-            if state.record.is_leaving or state.is_withdrawn:
+            if state.record.is_draining or state.is_address_taken:
                 is_sound = False
             views.append(
                 EngineView(
                     endpoint_id,
                     state.stage if order is None else order.stage,
                     is_sound,
-                    state.record.is_leaving,
+                    state.record.is_draining,
                     is_switching,
                     load.running,
                 )
@@ -148,11 +148,11 @@
             del self._orders[record.endpoint_id]
             self._tell(state, None)
             if step == DONE:
-                news = StageNews(order.stage, False)
-                state.on_stage_news(context.clock(), news, STAGE_KEPT_S)
+                news = OrderedStage(order.stage, False)
+                state.on_stage_ordered(context.clock(), news, STAGE_KEPT_S)
                 self._tell(state, news)
             elif order.sends:
-                state.drop_stage_news(float("inf"))
+                state.expire_ordered_stage(float("inf"))
         context.metrics.stage_ordered(order.stage, step)
         context.log(
             "info",
@@ -169,10 +169,10 @@
 
     async def _report(self, record):
         """Return an engine's report, or None when none came."""
-        call = encode_report_call(record.address)
+        call = encode_report_request(record.address)
         try:
-            reply = await ask_engine(self._context, record, call, CALL_TIMEOUT_S)
-            return decode_report(record.endpoint_id, reply.body)
+            reply = await call_engine(self._context, record, call, CALL_TIMEOUT_S)
+            return decode_engine_report(record.endpoint_id, reply.body)
         except (CallError, DecodeError, TimeoutError) as error:
             self._context.log(
                 "info",
@@ -186,8 +186,8 @@
         """Send an order once; note what its answer says."""
         context, record = self._context, state.record
         # From the first byte on the engine may refuse work, so no host sends it any.
-        news = StageNews(order.stage, True)
-        state.on_stage_news(context.clock(), news, float("inf"))
+        news = OrderedStage(order.stage, True)
+        state.on_stage_ordered(context.clock(), news, float("inf"))
         self._tell(state, news)
         order.on_send(context.clock())
         call = encode_stage_order(
@@ -198,7 +198,7 @@
             order.order_count,
         )
         try:
-            reply = await ask_engine(context, record, call, CALL_TIMEOUT_S)
+            reply = await call_engine(context, record, call, CALL_TIMEOUT_S)
             outcome, detail = decode_order_status(reply.status), None
         except (CallError, TimeoutError) as error:
             outcome, detail = OrderOutcome.UNKNOWN, str(error) or "timeout"
