--- a/tests/test_platform_adapter.py
+++ b/tests/test_platform_adapter.py
@@ -1,4 +1,4 @@
-"""What comes over the platform's wire, well formed or not."""
+"""Decoding and encoding of the platform's messages, valid and invalid ones."""
 
 import json
 
@@ -87,7 +87,7 @@
     return StoredObject(name, 5, content, None)
 
 
-def test_an_entry_is_decoded_once_into_plain_words():
+def test_endpoint_entry_is_decoded():
     record = decode_endpoint(stored(ENTRY))
     assert record.incarnation == ("e-1", 1_700_000_000_000)
     assert (record.warmup_left_s, record.heartbeat_count, record.is_draining) == (
@@ -114,14 +114,14 @@
         ("service", 7),
     ],
 )
-def test_an_entry_of_another_writer_names_no_endpoint(field, value):
+def test_endpoint_entry_with_invalid_field_is_rejected(field, value):
     with pytest.raises(DecodeError) as caught:
         decode_endpoint(stored({**ENTRY, field: value}))
     assert caught.value.peer == "e-1"
 
 
 @given(JSON)
-def test_no_entry_and_no_configuration_breaks_the_adapter(content):
+def test_arbitrary_json_raises_nothing_but_decode_errors(content):
     for decode in (lambda item: decode_endpoint(stored(item)), decode_configuration):
         try:
             decode(content)
@@ -130,7 +130,7 @@
 
 
 @given(st.sampled_from(sorted(ENTRY)), JSON)
-def test_a_spoilt_field_is_refused_or_read_as_it_is_meant(field, value):
+def test_entry_with_arbitrary_field_is_rejected_or_has_valid_types(field, value):
     try:
         record = decode_endpoint(stored({**ENTRY, field: value}))
     except DecodeError:
@@ -139,7 +139,7 @@
     assert isinstance(record.heartbeat_count, int)
 
 
-def test_a_configuration_is_decoded_with_its_units():
+def test_configuration_is_decoded_with_converted_units():
     configuration = decode_configuration(CONFIGURATION)
     route = configuration.routes[0]
     assert (route.kind, route.host, route.timeout_s) == (STREAM, "shop.example", 4.0)
@@ -150,7 +150,7 @@
     assert (engine.link_bits_per_s, engine.role_change_s) == (740e9, 3.0)
 
 
-def test_a_split_goes_before_a_service_and_drops_shares_without_weight():
+def test_split_overrides_service_and_shares_of_weight_zero_are_dropped():
     split = [{"service": "one", "weight": 90}, {"service": "two", "weight": 0}]
     route = {**ROUTE, "split": split, "kind": "non_idempotent"}
     decoded = decode_configuration({**CONFIGURATION, "routes": [route]}).routes[0]
@@ -158,7 +158,7 @@
     assert decoded.kind == AT_MOST_ONCE
 
 
-def test_settings_need_what_the_process_cannot_do_without():
+def test_missing_mandatory_setting_is_named_in_the_error():
     table = {
         "node": "h",
         "ip": "10.0.0.1",
@@ -197,7 +197,7 @@
 ]
 
 
-def test_a_request_keeps_what_is_the_caller_s_and_nothing_of_its_connection():
+def test_hop_by_hop_and_internal_headers_are_not_forwarded():
     request = decode_request("POST", "/a/b?c=d", HEADERS, b"body")
     assert (request.host, request.caller_timeout_s) == ("shop.example", 8.0)
     assert request.generation.parts[0] == PromptPart(0x5C1E07A2, 800)
@@ -216,7 +216,7 @@
         assert word not in head
 
 
-def test_a_caller_cannot_have_its_request_s_identity_dropped():
+def test_connection_header_cannot_remove_the_request_id():
     headers = [*HEADERS, ("Connection", "X-Gypsumusher-Request-Id")]
     data = encode_endpoint_request(
         decode_request("GET", "/", headers, b""), SendOptions("e", 1.0)
@@ -225,9 +225,7 @@
 
 
 @given(st.text(max_size=30), st.text(max_size=30))
-def test_odd_headers_leave_a_request_without_a_generation_or_with_a_sound_one(
-    counts, prefix
-):
+def test_invalid_headers_give_no_generation_or_a_valid_one(counts, prefix):
     headers = [
         ("X-Gypsumusher-Token-Count", counts),
         ("X-Gypsumusher-Prompt-Prefix", prefix),
@@ -240,7 +238,7 @@
         assert all(part.tokens > 0 for part in request.generation.parts)
 
 
-def test_an_answer_s_head_says_what_ran():
+def test_response_head_tells_whether_the_request_ran():
     head = decode_response_head(
         200,
         [
@@ -261,7 +259,7 @@
 
 
 @given(st.binary(max_size=40) | JSON.map(lambda item: json.dumps(item).encode()))
-def test_odd_bodies_of_engines_are_told_as_such(body):
+def test_invalid_bodies_of_engines_raise_decode_errors(body):
     for decode in (decode_prefill_result, decode_cached_parts):
         try:
             decode("e-1", body)
@@ -269,14 +267,14 @@
             assert error.peer == "e-1"
 
 
-def test_a_refusal_says_when_to_come_back():
+def test_refusal_states_retry_after_and_reason():
     headers, body = encode_refusal(Refusal(503, "overloaded", 0.25), "r")
     assert ("Retry-After", "0.250") in headers
     assert json.loads(body) == {"error": "overloaded"}
     assert len(encode_refusal(Refusal(502, "broken", None), "")[0]) == 1
 
 
-def test_an_order_holds_for_one_endpoint_and_one_number_of_orders():
+def test_stage_order_names_the_endpoint_and_the_order_count():
     record = EndpointRecord(
         "e-1", 1, "s", "10.0.0.1:80", "a", 1, False, 0.0, "decode", 1
     )
--- a/tests/test_platform_store.py
+++ b/tests/test_platform_store.py
@@ -1,4 +1,4 @@
-"""The store's client against a stand-in that refuses, falls silent and forgets."""
+"""The store's client against a store that refuses calls, hangs or drops history."""
 
 import asyncio
 import time
@@ -14,8 +14,8 @@
     return asyncio.run(asyncio.wait_for(coroutine, 20))
 
 
-class Setting:
-    """A stand-in of the store and a client of it."""
+class StoreFixture:
+    """A stand-in for the platform's store, and a client connected to it."""
 
     async def __aenter__(self):
         self.store = ObjectStore()
@@ -26,70 +26,80 @@
         await self.client.close()
         await self.store.close()
 
-    async def code(self, call):
+    async def error_code(self, call):
         return (await call).failure().code
 
 
-def test_objects_change_only_at_the_revision_they_were_read_at():
+def test_replace_needs_the_current_revision():
     async def scenario():
-        async with Setting() as setting:
-            client = setting.client
+        async with StoreFixture() as fixture:
+            client = fixture.client
             made = (await client.create("locks", "one", {"x": 1})).unwrap()
-            assert await setting.code(client.create("locks", "one", {})) == "conflict"
+            assert (
+                await fixture.error_code(client.create("locks", "one", {}))
+                == "conflict"
+            )
             late = client.replace("locks", "one", {"x": 2}, made.revision - 1)
-            assert await setting.code(late) == "conflict"
+            assert await fixture.error_code(late) == "conflict"
             await client.replace("locks", "one", {"x": 2}, made.revision)
             assert (await client.get("locks", "one")).unwrap().content == {"x": 2}
             await client.delete("locks", "one")
-            assert await setting.code(client.get("locks", "one")) == "absent"
+            assert await fixture.error_code(client.get("locks", "one")) == "absent"
 
     run(scenario())
 
 
-def test_a_watch_tells_what_changed_and_where_to_go_on():
+def test_watch_returns_changes_and_the_next_revision():
     async def scenario():
-        async with Setting() as setting:
-            setting.store.put("servers", "e-1", {})
-            listing = (await setting.client.list("servers")).unwrap()
+        async with StoreFixture() as fixture:
+            fixture.store.put("servers", "e-1", {})
+            listing = (await fixture.client.list("servers")).unwrap()
             watch = asyncio.ensure_future(
-                setting.client.watch("servers", listing.revision, 5.0)
+                fixture.client.watch("servers", listing.revision, 5.0)
             )
             await asyncio.sleep(0.02)
-            setting.store.remove("servers", "e-1")
+            fixture.store.remove("servers", "e-1")
             changes = (await watch).unwrap()
             assert [item.is_deleted for item in changes.changes] == [True]
             assert changes.revision > listing.revision
-            setting.store.forget_history()
-            setting.store.put("servers", "e-2", {})
-            setting.store.forget_history()
-            gone = setting.client.watch("servers", listing.revision, 1.0)
-            assert await setting.code(gone) == "history_gone"
+            fixture.store.forget_history()
+            fixture.store.put("servers", "e-2", {})
+            fixture.store.forget_history()
+            gone = fixture.client.watch("servers", listing.revision, 1.0)
+            assert await fixture.error_code(gone) == "history_gone"
 
     run(scenario())
 
 
-def test_what_a_lost_answer_means_is_left_open_and_a_refusal_is_not():
-    # A write's answer is lost: it may have been done, and repeating it blindly could
-    # undo a later one. A 503 says that nothing was done.
+def test_lost_response_is_unknown_and_503_is_refused():
+    # Guards against taking a lost response to a write for a failure. The store may have
+    # done the write, and repeating it could undo a later one. A 503 in contrast states
+    # that the store did nothing.
     async def scenario():
-        async with Setting() as setting:
-            setting.store.fault = "lost"
-            lost = setting.client.create("locks", "one", {})
-            assert await setting.code(lost) == "unknown"
-            calls = len(setting.store.calls)
+        async with StoreFixture() as fixture:
+            fixture.store.fault = "lost"
+            lost = fixture.client.create("locks", "one", {})
+            assert await fixture.error_code(lost) == "unknown"
+            calls = len(fixture.store.calls)
             assert calls == 1
-            setting.store.fault = "refuse"
-            assert await setting.code(setting.client.get("locks", "one")) == "refused"
-            setting.store.fault = "silent"
-            assert await setting.code(setting.client.get("locks", "one")) == "unknown"
+            fixture.store.fault = "refuse"
+            assert (
+                await fixture.error_code(fixture.client.get("locks", "one"))
+                == "refused"
+            )
+            fixture.store.fault = "silent"
+            assert (
+                await fixture.error_code(fixture.client.get("locks", "one"))
+                == "unknown"
+            )
 
     run(scenario())
 
 
-def test_a_large_configuration_is_read_over_a_weak_link():
-    # A host with a weak link starts under a configuration of thousands of routes. Each
-    # read of it took longer than a read may, and was given up and begun again, so that
-    # the host never knew a configuration, and refused all its callers.
+def test_large_configuration_is_read_over_a_slow_link():
+    # Guards against a host that never gets its configuration. With thousands of routes
+    # and a slow link, each read exceeded a limit on its total time and began anew, so
+    # that the host refused all callers.
     async def scenario():
         store = ObjectStore()
         link = Proxy(await store.start())
@@ -104,7 +114,7 @@
         store.put("config", "main", {**content, "version": 2})
         (change,) = (await watch).unwrap().changes
         assert change.object.content["version"] == 2
-        for part in (client, link, store):
-            await part.close()
+        for resource in (client, link, store):
+            await resource.close()
 
     run(scenario())
