--- a/libs/http/gypsumusher_http/__init__.py
+++ b/libs/http/gypsumusher_http/__init__.py
@@ -1,7 +1,8 @@
-"""HTTP/1.1 over httptools: kept connections, whole calls, and listeners.
+"""HTTP/1.1 on top of httptools: connection pool, client and listener.
 
-aiohttp and sanic are slow to import, which each start of a host would pay for, and hide
-what some promises rest on: see `connections` and `listener`.
+aiohttp and sanic aren't used: their import slows down each start of a host, and they
+don't give the control over connections and framing that `connections` and `listener`
+need.
 """
 
 from gypsumusher_http.calls import CallLimits, HttpClient
--- a/libs/http/gypsumusher_http/calls.py
+++ b/libs/http/gypsumusher_http/calls.py
@@ -1,4 +1,4 @@
-"""Calls whose answers are read whole, for as long as their bytes keep coming."""
+"""HTTP client that reads whole responses, with a limit on pauses between data."""
 
 import asyncio
 from typing import NamedTuple
@@ -8,25 +8,25 @@
 
 __all__ = ["CallLimits", "HttpClient"]
 
-# Connections to one address at once. A host has a few calls under way to one process.
+# Connections to one address at once; a host makes few concurrent calls to one process.
 MAX_CONNECTIONS = 8
-# Longest time to open a connection, in seconds; the limit on the head holds besides.
+# Limit on opening a connection. `CallLimits.head_timeout_s` includes this time.
 CONNECT_TIMEOUT_S = 1.0
 
 
 class CallLimits(NamedTuple):
-    """How long an answer may take, and how large it may be.
+    """Limits on the time and the size of a response.
 
     Attributes
     ----------
     head_timeout_s : float
-        Longest wait for its head, in seconds.
+        Longest time from the start of the call to the response's head, in seconds.
     read_timeout_s : float
-        Longest wait for its next bytes, in seconds.
+        Longest wait for the next bytes of the body, in seconds.
     body_timeout_s : float
-        Longest time from its head to its end, in seconds.
+        Longest time from the head to the end of the response, in seconds.
     max_body_bytes : int
-        Largest body, in bytes.
+        Largest body of a response, in bytes.
     """
 
     head_timeout_s: float
@@ -36,19 +36,19 @@
 
 
 class _Head(NamedTuple):
-    """The head of a call's answer."""
+    """Head of a response; a response without an id fits any request."""
 
     status: int
     request_id: None = None
 
 
 class HttpClient:
-    """Makes calls on kept connections. No call is ever repeated.
+    """Makes calls on pooled connections. The client never repeats a call.
 
     Parameters
     ----------
     clock : callable
-        Steady clock in seconds.
+        Monotonic clock in seconds.
     """
 
     def __init__(self, clock):
@@ -60,68 +60,69 @@
         self._pool.close()
 
     async def call(self, method, address, path, limits, query=None, body=None):
-        """Make a call; return the status and the whole body of its answer.
+        """Make a call; return the status and the whole body of the response.
 
-        Failures guarded against: one read returns what has come so far, and a reader
-        that takes it for the whole can read no answer of more than a packet or two. And
-        a limit on the whole time turns away whatever is large for a weak link, each
-        time anew from the first byte: the host never hears it, and its tries fill the
-        link for others. So the limit is on silence, which tells a dead peer from a slow
-        link.
+        The body is read until its end, since a single read returns only what has
+        arrived so far.
+
+        The main limit is on the pause between data, which distinguishes a dead peer
+        from a slow link. With a short limit on the total time, a host on a slow link
+        would never get a large response: each attempt would begin at the first byte
+        again and take bandwidth from other calls.
 
         Parameters
         ----------
         method, address, path : str
-            The call; the address is ``ip:port``.
+            HTTP method, ``ip:port`` of the other process, and path without query.
         limits : CallLimits
-            Bounds of the answer.
+            Limits on the response.
         query : dict of str to str, or None
-            The query.
+            Parameters of the query.
         body : bytes or None
-            A JSON body.
+            Body in JSON.
 
         Returns
         -------
-        tuple of int and bytes
+        tuple of (int, bytes)
             Status and body.
 
         Raises
         ------
         TimeoutError
-            When nothing came for too long, or the whole took too long.
+            When a time of ``limits`` is exceeded.
         DecodeError
-            When the body is too large; the rest is left unread.
+            When the body is too large; its rest isn't read.
         CallError
             When the connection failed.
         """
-        data = _encode(method, address, path, query, body)
-        answer = None
+        request = _encode(method, address, path, query, body)
+        response = None
         try:
             async with asyncio.timeout(limits.head_timeout_s) as timeout:
                 connection = await self._pool.acquire(address, address, MAX_CONNECTIONS)
-                answer = connection.send(data, None)
-                head = await answer.head()
-                pieces = await self._read(answer, f"{address}{path}", limits, timeout)
-                return head.status, b"".join(pieces)
+                response = connection.send(request, None)
+                head = await response.head()
+                chunks = await self._read(response, f"{address}{path}", limits, timeout)
+                return head.status, b"".join(chunks)
         finally:
-            if answer is not None:
-                answer.close()
+            if response is not None:
+                response.close()
 
-    async def _read(self, answer, name, limits, timeout):
-        """Return the pieces of a body."""
-        ends_s = self._clock() + limits.body_timeout_s
-        pieces, size_bytes = [], 0
+    async def _read(self, response, name, limits, timeout):
+        """Read a body within the limits; return it in chunks."""
+        end_s = self._clock() + limits.body_timeout_s
+        chunks, received_bytes = [], 0
         while True:
-            timeout.reschedule(min(self._clock() + limits.read_timeout_s, ends_s))
-            piece = await answer.read()
-            if not piece:
-                return pieces
-            size_bytes += len(piece)
-            if size_bytes > limits.max_body_bytes:
+            timeout.reschedule(min(self._clock() + limits.read_timeout_s, end_s))
+            chunk = await response.read()
+            if not chunk:
+                return chunks
+            received_bytes += len(chunk)
+            if received_bytes > limits.max_body_bytes:
                 raise DecodeError(
-                    "body", name, f"body over {limits.max_body_bytes} bytes"
+                    "body", name, f"body is larger than {limits.max_body_bytes} bytes"
                 )
-            pieces.append(piece)
+            chunks.append(chunk)
 
 
 def _decode_head(status, headers):
@@ -129,10 +130,11 @@
 
 
 def _encode(method, address, path, query, body):
-    """Return the bytes of a call."""
+    """Encode a request in HTTP/1.1."""
     target = path
     if query:
-        # Imported here, since a start waits for calls without a query alone.
+        # Imported here, since the calls at the start of a process have no query and
+        # needn't wait for the import.
         from urllib.parse import urlencode
 
         target = f"{path}?{urlencode(query)}"
--- a/libs/http/gypsumusher_http/connections.py
+++ b/libs/http/gypsumusher_http/connections.py
@@ -1,8 +1,9 @@
-"""Connections to other processes: kept, bounded in number, one request at a time.
+"""Pool of HTTP/1.1 connections with a limited number of connections to each process.
 
-An endpoint may send an old answer where the next one is due, and only reading past it,
-to the answer that bears the request's id, serves a request that must not be sent again.
-No client library that we know of does so.
+A faulty endpoint may send a late, second response to an earlier request in place of the
+next response. A request that must run at most once can't be sent again, so the
+connection skips responses with the id of another request and waits for the right one.
+Common HTTP client libraries don't do so, which is why this module exists.
 """
 
 import asyncio
@@ -15,31 +16,32 @@
 
 __all__ = ["Response", "ConnectionPool"]
 
-# Without an announced limit an idle connection is used for this long, in seconds.
-IDLE_LIMIT_S = 4.0
-# An announced limit is in whole seconds and counts from the other side's last byte; the
-# request has to arrive before it.
-IDLE_MARGIN_S = 0.6
-# Answers of other requests that are read past on one connection. One is the usual
-# fault; more means that the connection can't be trusted.
-MAX_STRANGE_ANSWERS = 2
-# TCP probes on idle connections, in seconds: a connection that has gone silent without
-# a reset is closed before a request is lost on it.
-PROBE_IDLE_S, PROBE_INTERVAL_S, PROBE_COUNT = 1, 1, 2
-# Connections to one process that a host may have in any case.
+# Time for which an idle connection is reused when the endpoint announces no time-out.
+DEFAULT_IDLE_TIMEOUT_S = 4.0
+# Subtracted from a time-out that the endpoint announces. That time-out is in whole
+# seconds from the endpoint's last byte, and a new request must arrive before its end.
+IDLE_TIMEOUT_MARGIN_S = 0.6
+# Responses to other requests that are skipped before the expected one. One is the usual
+# fault; with more, the connection counts as unreliable and is closed.
+MAX_SKIPPED_RESPONSES = 2
+# TCP keepalive: idle time and interval of the probes in seconds, and number of probes.
+# A connection that died without a reset is closed before a request is lost on it.
+KEEPALIVE_IDLE_S, KEEPALIVE_INTERVAL_S, KEEPALIVE_COUNT = 1, 1, 2
+# Connections to one process that a host may always have, also when its share of the
+# process's limit is lower.
 MIN_CONNECTIONS = 4
-_NO_BODY_STATUS = (204, 304)
+_STATUSES_WITHOUT_BODY = (204, 304)
 
 
 class Response:
-    """One answer as it comes in.
+    """The response to one request, available while it arrives.
 
     Parameters
     ----------
     connection : _Connection
-        Where it comes from.
+        Connection on which the request was sent.
     request_id : str or None
-        Id that it must bear; None takes any.
+        Id that the response must carry; with None, any response fits.
     """
 
     def __init__(self, connection, request_id):
@@ -47,29 +49,30 @@
         self.is_complete = False
         self._connection = connection
         self._head = asyncio.get_running_loop().create_future()
-        # Nobody may be waiting any more when a broken connection is noticed.
+        # Retrieves the exception, since no task may await the head when the connection
+        # fails; asyncio would log it as never retrieved.
         self._head.add_done_callback(lambda future: future.exception())
         self._chunks = deque()
         self._error = None
         self._waiter = None
 
     async def head(self):
-        """Return the answer's head.
+        """Wait for the head of the response and return it.
 
         Raises
         ------
         CallError
-            When the connection breaks before it.
+            When the connection fails before the head has arrived.
         """
         return await asyncio.shield(self._head)
 
     async def read(self):
-        """Return the next bytes of the body; empty at its complete end.
+        """Return the next bytes of the body; empty bytes at the end of the body.
 
         Raises
         ------
         CallError
-            When the answer ends before its end.
+            When the connection fails before the end of the body.
         """
         while not self._chunks:
             if self.is_complete:
@@ -86,96 +89,97 @@
         return data
 
     async def body(self):
-        """Return the whole body; raises as `read`."""
-        pieces = []
+        """Read and return the whole body; raise the errors of `read`."""
+        chunks = []
         while True:
             data = await self.read()
             if not data:
-                return b"".join(pieces)
-            pieces.append(data)
+                return b"".join(chunks)
+            chunks.append(data)
 
     def close(self):
-        """Keep the connection when the answer is complete, and drop it otherwise."""
-        self._connection.end_use(self)
+        """Release the connection; abort it if the response is incomplete."""
+        self._connection.end_request(self)
 
     def on_head(self, head):
-        """Take in the head."""
+        """Set the head; wakes the tasks that wait for it."""
         if not self._head.done():
             self._head.set_result(head)
 
     def on_data(self, data):
-        """Take in a piece of the body."""
+        """Append a chunk of the body."""
         self._chunks.append(data)
         self._wake()
 
     def on_complete(self):
-        """Note that the answer is whole."""
+        """Mark the response as complete."""
         self.is_complete = True
         self._wake()
 
     def on_failed(self, error):
-        """Note that no more will come."""
+        """Fail all current and later waits with an error."""
         self._error = error
         if not self._head.done():
             self._head.set_exception(error)
         self._wake()
 
     def _wake(self):
+        """Wake the task that waits in `read`."""
         if self._waiter is not None and not self._waiter.done():
             self._waiter.set_result(None)
 
 
 class _Connection(asyncio.Protocol):
-    """One connection; one request at a time."""
+    """A client connection that carries one request at a time."""
 
     def __init__(self, pool, key, address):
         self.key = key
         self.address = address
         self.idle_since_s = 0.0
-        self.idle_limit_s = IDLE_LIMIT_S
+        self.idle_timeout_s = DEFAULT_IDLE_TIMEOUT_S
         self._pool = pool
         self._transport = None
         self._parser = None
-        self._answer = None
+        self._response = None
         self._headers = []
-        self._strange_answers = 0
-        self._is_skipping = False
-        self._ends_with_connection = False
-        self._is_spoilt = False
+        self._skipped_responses = 0
+        self._is_skipping_response = False
+        self._ends_at_eof = False
+        self._is_unusable = False
 
     @property
     def is_open(self):
-        """Whether it can carry another request."""
+        """Whether the connection can carry another request."""
         return (
             self._transport is not None
-            and not self._is_spoilt
+            and not self._is_unusable
             and not self._transport.is_closing()
         )
 
     def send(self, data, request_id):
-        """Write a request; return its answer."""
-        self._answer = Response(self, request_id)
-        self._strange_answers = 0
-        self._is_skipping = False
+        """Write a request; return the `Response` to it."""
+        self._response = Response(self, request_id)
+        self._skipped_responses = 0
+        self._is_skipping_response = False
         self._transport.write(data)
-        return self._answer
+        return self._response
 
-    def end_use(self, answer):
-        """Return to the pool, or close when the answer isn't whole."""
-        if answer is not self._answer:
+    def end_request(self, response):
+        """Return to the pool; abort if the request or the response is incomplete."""
+        if response is not self._response:
             return
-        self._answer = None
+        self._response = None
         is_sent = self._transport is not None and (
             self._transport.get_write_buffer_size() == 0
         )
-        if answer.is_complete and is_sent and self.is_open:
+        if response.is_complete and is_sent and self.is_open:
             self._pool.release(self)
             return
         self.abort()
 
     def abort(self):
-        """Close at once: what was not read is of no use to anybody."""
-        self._is_spoilt = True
+        """Close at once and discard unread data."""
+        self._is_unusable = True
         if self._transport is not None:
             self._transport.abort()
 
@@ -186,39 +190,40 @@
         self._parser = httptools.HttpResponseParser(self)
         sock = transport.get_extra_info("socket")
         if sock is not None:
-            _set_probes(sock)
+            _enable_tcp_keepalive(sock)
 
     def data_received(self, data):
-        if self._answer is None or self._answer.is_complete:
-            # Bytes behind a complete answer belong to no request.
+        if self._response is None or self._response.is_complete:
+            # Data after a complete response belongs to no request.
             self.abort()
             return
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserError:
-            self._is_spoilt = True
-            if self._answer is not None and not self._answer.is_complete:
+            self._is_unusable = True
+            if self._response is not None and not self._response.is_complete:
                 self._fail("garbled")
             self.abort()
 
     def eof_received(self):
-        """Tell a reset from an end, for answers that end with their connection.
+        """Distinguish a reset from a regular end of the connection.
 
-        Failure guarded against: an endpoint crashes in the middle of an answer without
-        a length. The reset shows to the loop as a plain end, and the caller would get
-        half an answer as a whole one. The socket still knows of the reset.
+        When an endpoint crashes within a response whose end is the end of the
+        connection, the event loop reports the reset as a regular end, and the caller
+        would take half a response for a whole one. The error is still pending at the
+        socket.
         """
         sock = self._transport.get_extra_info("socket")
         if sock is not None and sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR):
-            self._ends_with_connection = False
+            self._ends_at_eof = False
 
     def connection_lost(self, error):
         self._transport = None
         self._pool.discard(self)
-        if self._answer is None or self._answer.is_complete:
+        if self._response is None or self._response.is_complete:
             return
-        if error is None and self._ends_with_connection and not self._is_skipping:
-            self._answer.on_complete()
+        if error is None and self._ends_at_eof and not self._is_skipping_response:
+            self._response.on_complete()
             return
         self._fail("broken")
 
@@ -226,81 +231,82 @@
 
     def on_message_begin(self):
         self._headers = []
-        if self._answer is not None and self._answer.is_complete:
-            self._is_spoilt = True
+        if self._response is not None and self._response.is_complete:
+            self._is_unusable = True
 
     def on_header(self, name, value):
         self._headers.append((name.decode("latin-1"), value.decode("latin-1")))
 
     def on_headers_complete(self):
-        if self._is_spoilt:
+        if self._is_unusable:
             return
         status = self._parser.get_status_code()
         if status < 200:
-            self._is_skipping = True
+            self._is_skipping_response = True
             return
         head = self._pool.decode_head(status, self._headers)
-        self._is_skipping = self._is_strange(head)
-        if self._is_skipping:
-            self._strange_answers += 1
-            if self._strange_answers > MAX_STRANGE_ANSWERS:
-                self._is_spoilt = True
+        self._is_skipping_response = self._is_for_other_request(head)
+        if self._is_skipping_response:
+            self._skipped_responses += 1
+            if self._skipped_responses > MAX_SKIPPED_RESPONSES:
+                self._is_unusable = True
                 self._fail("garbled")
             return
-        self._note_framing(status)
-        self._answer.on_head(head)
+        self._read_framing(status)
+        self._response.on_head(head)
 
     def on_body(self, data):
-        if self._is_skipping or self._is_spoilt:
+        if self._is_skipping_response or self._is_unusable:
             return
-        self._answer.on_data(data)
+        self._response.on_data(data)
 
     def on_message_complete(self):
-        if self._is_spoilt:
+        if self._is_unusable:
             return
-        if self._is_skipping:
-            self._is_skipping = False
+        if self._is_skipping_response:
+            self._is_skipping_response = False
             return
         if not self._parser.should_keep_alive():
-            self._is_spoilt = True
-        if not self._ends_with_connection:
-            self._answer.on_complete()
+            self._is_unusable = True
+        if not self._ends_at_eof:
+            self._response.on_complete()
 
-    def _is_strange(self, head):
-        """Say whether an answer is another request's."""
-        expected = self._answer.request_id
+    def _is_for_other_request(self, head):
+        """Return whether a response carries the id of another request."""
+        expected = self._response.request_id
         if expected is None or head.request_id is None:
             return False
         return head.request_id != expected
 
-    def _note_framing(self, status):
-        """Note how the body ends, and for how long the connection may idle."""
-        has_length = status in _NO_BODY_STATUS
+    def _read_framing(self, status):
+        """Read from the headers how the body ends, and the announced idle time-out."""
+        has_length = status in _STATUSES_WITHOUT_BODY
         for name, value in self._headers:
             key = name.lower()
             if key in ("content-length", "transfer-encoding"):
                 has_length = True
             elif key == "keep-alive":
-                self.idle_limit_s = _announced_limit_s(value)
-        self._ends_with_connection = not has_length
-        if self._ends_with_connection:
-            self._is_spoilt = False
+                self.idle_timeout_s = _parse_idle_timeout_s(value)
+        self._ends_at_eof = not has_length
+        if self._ends_at_eof:
+            self._is_unusable = False
 
     def _fail(self, reason):
+        """Fail the current response; the endpoint may have run the request."""
         error = CallError("run", self.address, reason, True)
-        self._answer.on_failed(error)
+        self._response.on_failed(error)
 
 
 class ConnectionPool:
-    """The connections of this host to other processes.
+    """Pool of this host's connections to other processes.
 
     Parameters
     ----------
     clock : callable
-        Steady clock in seconds.
+        Monotonic clock in seconds.
     decode_head : callable
-        ``decode_head(status, headers)`` returns the typed head of an answer; it has a
-        ``request_id``, None where answers bear none.
+        ``decode_head(status, headers)`` returns the decoded head of a response. The
+        head has an attribute ``request_id``, which is None for a response without id.
     connect_timeout_s : float
         Longest time to open a connection, in seconds.
     """
@@ -314,23 +320,30 @@
         self.opened_count = 0
 
     async def acquire(self, key, address, max_connections, requires_new=False):
-        """Return a connection to one process.
+        """Return an idle or a new connection to a process.
 
         Parameters
         ----------
         key : hashable
-            The process; one that comes later at the same address has another key.
+            Key of the process; a later process at the same address has another key, so
+            that it never gets a connection to its predecessor.
         address : str
-            Its ``ip:port``.
+            ``ip:port`` of the process.
         max_connections : int
-            Connections that this host may have there.
+            Limit on this host's connections to the process; at least
+            ``MIN_CONNECTIONS`` are allowed.
         requires_new : bool
-            Whether a kept connection won't do.
+            Whether idle connections mustn't be reused.
+
+        Returns
+        -------
+        _Connection
 
         Raises
         ------
         CallError
-            When none can be had; nothing was sent then.
+            When the limit is reached or the connection can't be opened. No request has
+            been sent then.
         """
         idle = self._idle.get(key, [])
         now_s = self._clock()
@@ -338,7 +351,7 @@
             connection = idle.pop()
             if not connection.is_open:
                 continue
-            if now_s - connection.idle_since_s > connection.idle_limit_s:
+            if now_s - connection.idle_since_s > connection.idle_timeout_s:
                 connection.abort()
                 continue
             return connection
@@ -347,37 +360,38 @@
         return await self._connect(key, address)
 
     def release(self, connection):
-        """Take back a connection whose answer was whole."""
+        """Make a connection available again after a complete response."""
         connection.idle_since_s = self._clock()
         self._idle.setdefault(connection.key, []).append(connection)
 
     def discard(self, connection):
-        """Drop a connection that is closed."""
-        for table in (self._idle, self._open):
-            kept = table.get(connection.key)
-            if kept is None:
+        """Remove a closed connection from the pool."""
+        for connections_by_key in (self._idle, self._open):
+            connections = connections_by_key.get(connection.key)
+            if connections is None:
                 continue
-            if connection in kept:
-                kept.remove(connection)
-            if not kept:
-                del table[connection.key]
+            if connection in connections:
+                connections.remove(connection)
+            if not connections:
+                del connections_by_key[connection.key]
 
     def close_expired(self):
-        """Close what has been idle too long."""
+        """Close connections that have been idle for longer than their time-out."""
         now_s = self._clock()
-        for kept in list(self._idle.values()):
-            for connection in list(kept):
-                if now_s - connection.idle_since_s > connection.idle_limit_s:
-                    kept.remove(connection)
+        for connections in list(self._idle.values()):
+            for connection in list(connections):
+                if now_s - connection.idle_since_s > connection.idle_timeout_s:
+                    connections.remove(connection)
                     connection.abort()
 
     def close(self):
         """Close all connections at once."""
-        for kept in list(self._open.values()):
-            for connection in list(kept):
+        for connections in list(self._open.values()):
+            for connection in list(connections):
                 connection.abort()
 
     async def _connect(self, key, address):
+        """Open a connection; raise CallError when it can't be opened in time."""
         ip, _, port = address.rpartition(":")
         loop = asyncio.get_running_loop()
         connection = _Connection(self, key, address)
@@ -396,22 +410,25 @@
         return connection
 
 
-def _announced_limit_s(value):
-    """Return for how long an idle connection is used, from a Keep-Alive header."""
+def _parse_idle_timeout_s(value):
+    """Return the time in seconds for which an idle connection may be reused.
+
+    ``value`` is the content of a Keep-Alive header.
+    """
     for token in value.split(","):
         name, _, number = token.strip().partition("=")
         if name.lower() == "timeout" and number.isdigit():
-            return max(0.0, int(number) - IDLE_MARGIN_S)
-    return IDLE_LIMIT_S
+            return max(0.0, int(number) - IDLE_TIMEOUT_MARGIN_S)
+    return DEFAULT_IDLE_TIMEOUT_S
 
 
-def _set_probes(sock):
-    """Have the system probe a connection that is idle."""
+def _enable_tcp_keepalive(sock):
+    """Enable TCP keepalive on a socket."""
     try:
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
-        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, PROBE_IDLE_S)
-        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, PROBE_INTERVAL_S)
-        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, PROBE_COUNT)
+        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_IDLE_S)
+        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEPALIVE_INTERVAL_S)
+        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, KEEPALIVE_COUNT)
     except OSError:
-        # A transport without these options still works; silence then shows later.
+        # The connection works without them; only a dead peer is detected later.
         return
--- a/libs/http/gypsumusher_http/errors.py
+++ b/libs/http/gypsumusher_http/errors.py
@@ -6,19 +6,19 @@
 
 
 class CallError(GypsumusherError):
-    """A call that brought no whole answer.
+    """A call that got no complete response.
 
     Parameters
     ----------
     step : str
-        What was being done: connect, prefill, run or read.
+        The step that failed: connect, prefill, run or read.
     peer : str
-        The address that was called.
+        Address of the other process.
     reason : str
-        connect, no_connection, broken, silent, garbled, full, behind or left;
-        `gypsumusher_routing.Health` weighs them.
+        connect, no_connection, broken, silent, garbled, full, behind or left.
+        `gypsumusher_routing.Health` rates endpoints by these reasons.
     may_have_run : bool
-        Whether the other side may have run the call, or may yet.
+        Whether the other process may have run the call, or may still run it.
     """
 
     def __init__(self, step, peer, reason, may_have_run):
--- a/libs/http/gypsumusher_http/listener.py
+++ b/libs/http/gypsumusher_http/listener.py
@@ -1,8 +1,9 @@
-"""Listeners: HTTP/1.1 connections, one request after the other.
+"""HTTP/1.1 listener that handles the requests of a connection one after the other.
 
-sanic takes ``Content-Length : 5`` for no length and the body behind it for another
-request, which would run a request that no caller sent (`test_listener.py` shows both).
-llhttp, by way of httptools, refuses such a header.
+It parses requests with llhttp, through httptools, because llhttp rejects a header like
+``Content-Length : 5``. sanic ignores such a header and takes the body for another
+request, so that it would run a request that no caller sent; `test_listener.py` shows
+both.
 """
 
 import asyncio
@@ -14,20 +15,22 @@
 
 __all__ = ["Listener", "Reply"]
 
-# Requests that a caller may send ahead on one connection. Reading stops behind them,
-# and with it the notice of the caller's leaving, so it is more than clients use.
-MAX_AHEAD = 16
-# Idle connections are looked through this often, in seconds.
-SWEEP_S = 1.0
-# Idle connections are kept for longer than callers use them, in seconds: one that
-# closes just as the caller sends costs it a try.
-IDLE_MARGIN_S = 1.0
-# Used until a configuration says more.
-FIRST_IDLE_S, FIRST_HEADER_S = 15.0, 3.0
-FIRST_HEADER_BYTES, FIRST_BODY_BYTES = 16 * 1024, 4 * 1024 * 1024
-BACKLOG = 1024
-WRITE_HIGH_BYTES = 256 * 1024
-_REASONS = {
+# Pipelined requests on one connection after which reading pauses. While reading is
+# paused, the caller's disconnect isn't noticed, so the limit is above what clients use.
+MAX_PIPELINED_REQUESTS = 16
+# Interval of the check for connections that are idle or stuck within a request.
+CLEANUP_INTERVAL_S = 1.0
+# Idle connections stay open for this much longer than the time-out known to callers. A
+# connection that closes while the caller sends a request costs the caller a retry.
+IDLE_TIMEOUT_MARGIN_S = 1.0
+# Limits that apply until the first configuration is known.
+DEFAULT_IDLE_TIMEOUT_S, DEFAULT_HEADER_TIMEOUT_S = 15.0, 3.0
+DEFAULT_MAX_HEADER_BYTES, DEFAULT_MAX_BODY_BYTES = 16 * 1024, 4 * 1024 * 1024
+# Connections that the system queues until the listener accepts them.
+LISTEN_BACKLOG = 1024
+# `Reply.drain` waits while more than this is buffered for one caller.
+MAX_WRITE_BUFFER_BYTES = 256 * 1024
+_REASON_PHRASES = {
     200: b"OK",
     204: b"No Content",
     400: b"Bad Request",
@@ -45,16 +48,16 @@
 
 
 class Reply:
-    """The answer to one request, written piece by piece.
+    """Writes the response to one request, at once or in chunks.
 
     Parameters
     ----------
     connection : _Connection
-        Where it goes.
+        Connection of the caller.
     keeps_alive : bool
-        Whether the caller wants to use the connection again.
+        Whether the caller asks to keep the connection open.
     is_head : bool
-        Whether the answer has no body, whatever its length.
+        Whether the request's method is HEAD, so that the response has no body.
     """
 
     def __init__(self, connection, keeps_alive, is_head):
@@ -66,55 +69,56 @@
         self._is_chunked = False
 
     def send(self, status, headers, body):
-        """Write a whole answer.
+        """Write a whole response.
 
         Parameters
         ----------
         status : int
             HTTP status.
         headers : iterable of (str, str)
-            Headers other than those of the framing.
+            Headers, without Content-Length, Transfer-Encoding and Connection.
         body : bytes
-            The body.
+            Body of the response.
         """
         head = self._head(status, headers, f"Content-Length: {len(body)}")
         self._connection.write(head if self._is_head else head + body)
         self.is_started = self.is_ended = True
 
     def start(self, status, headers):
-        """Write the head of an answer whose body comes in pieces."""
+        """Write the head of a response whose body is written in chunks."""
         self._is_chunked = True
         head = self._head(status, headers, "Transfer-Encoding: chunked")
         self._connection.write(head)
         self.is_started = True
 
     def write(self, data):
-        """Write a piece of the body."""
+        """Write a chunk of the body."""
         if data and not self._is_head:
             self._connection.write(b"%x\r\n%b\r\n" % (len(data), data))
 
     async def drain(self):
-        """Wait until the caller has taken most of what was written."""
+        """Wait until the write buffer has room again."""
         await self._connection.drain()
 
     def end(self):
-        """Write the end of the body; only after all of it was written."""
+        """Write the end of the body, after all of its chunks."""
         if self._is_chunked and not self._is_head:
             self._connection.write(b"0\r\n\r\n")
         self.is_ended = True
 
     def abort(self):
-        """Break the connection off, so that an answer can't look complete."""
+        """Abort the connection, so that the caller sees the response as incomplete."""
         self._connection.abort()
 
     @property
     def keeps_alive(self):
-        """Whether the connection stays open after this answer."""
-        return self._keeps_alive and not self._connection.is_closing_soon
+        """Whether the connection stays open after this response."""
+        return self._keeps_alive and not self._connection.closes_after_response
 
     def _head(self, status, headers, framing):
+        """Encode the head; decide whether the connection stays open."""
         self._keeps_alive = self.keeps_alive
-        reason = _REASONS.get(status, b"-").decode()
+        reason = _REASON_PHRASES.get(status, b"-").decode()
         lines = [f"HTTP/1.1 {status} {reason}"]
         lines += [f"{name}: {value}" for name, value in headers]
         lines.append(framing)
@@ -124,7 +128,7 @@
 
 
 class _Connection(asyncio.Protocol):
-    """One connection of a caller."""
+    """A caller's connection; handles its requests in order."""
 
     def __init__(self, listener):
         self._listener = listener
@@ -134,53 +138,53 @@
         self._headers = []
         self._header_bytes = 0
         self._body = bytearray()
-        self._ahead = deque()
+        self._queued = deque()
         self._task = None
         self._is_reading = False
-        self._is_refused = False
+        self._is_rejected = False
         self._can_write = asyncio.Event()
         self._can_write.set()
-        self.active_s = listener.clock()
+        self.last_active_s = listener.clock()
 
     @property
     def is_idle(self):
-        """Whether nothing of a request is under way."""
-        return self._task is None and not self._is_reading and not self._ahead
+        """Whether no request is being received, queued or handled."""
+        return self._task is None and not self._is_reading and not self._queued
 
     @property
     def is_reading(self):
-        """Whether a request has begun to come in, and has not come in whole."""
+        """Whether a request has been received in part."""
         return self._is_reading
 
     @property
-    def is_closing_soon(self):
-        """Whether the host takes no further request on this connection."""
+    def closes_after_response(self):
+        """Whether the connection closes after the current response."""
         return self._listener.is_draining
 
     # Called by the transport
 
     def connection_made(self, transport):
         self._transport = transport
-        transport.set_write_buffer_limits(high=WRITE_HIGH_BYTES)
+        transport.set_write_buffer_limits(high=MAX_WRITE_BUFFER_BYTES)
         self._listener.connections.add(self)
 
     def data_received(self, data):
-        self.active_s = self._listener.clock()
-        if self._is_refused:
+        self.last_active_s = self._listener.clock()
+        if self._is_rejected:
             return
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserError as error:
-            # The framing is lost: whatever follows could be part of a body.
-            self._refuse(Refusal(400, "malformed_request", None), str(error))
+            # The end of the request is unknown; later data could be part of its body.
+            self._reject(Refusal(400, "malformed_request", None), str(error))
 
     def connection_lost(self, error):
         self._listener.connections.discard(self)
         self._transport = None
-        self._ahead.clear()
+        self._queued.clear()
         self._can_write.set()
         if self._task is not None:
-            # The caller is gone: whatever is done for it ends at once.
+            # The caller has disconnected: stop working on its request.
             self._task.cancel()
 
     def pause_writing(self):
@@ -214,11 +218,11 @@
     def on_body(self, data):
         self._body += data
         if len(self._body) > self._listener.max_body_bytes:
-            self._refuse(Refusal(413, "body_too_large", None), "")
+            self._reject(Refusal(413, "body_too_large", None), "")
 
     def on_message_complete(self):
         self._is_reading = False
-        if self._is_refused:
+        if self._is_rejected:
             return
         method = self._parser.get_method().decode("latin-1")
         target = self._target.decode("latin-1")
@@ -226,13 +230,13 @@
         request = decode(method, target, self._headers, bytes(self._body))
         reply = Reply(self, self._parser.should_keep_alive(), method == "HEAD")
         self._body = bytearray()
-        self._ahead.append((request, reply))
+        self._queued.append((request, reply))
         if self._task is None:
-            self._begin_next()
-        elif len(self._ahead) >= MAX_AHEAD:
+            self._start_next()
+        elif len(self._queued) >= MAX_PIPELINED_REQUESTS:
             self._transport.pause_reading()
 
-    # Called by the reply
+    # Called by `Reply`
 
     def write(self, data):
         if self._transport is not None:
@@ -250,21 +254,24 @@
             self._transport.close()
 
     def _count_header(self, size):
-        """Refuse a request whose header grows past the limit."""
+        """Reject the request when its header exceeds the limit."""
         self._header_bytes += size
         if self._header_bytes > self._listener.max_header_bytes:
-            self._refuse(Refusal(431, "header_too_large", None), "")
+            self._reject(Refusal(431, "header_too_large", None), "")
 
-    def _begin_next(self):
-        """Serve the oldest request that was read."""
-        request, reply = self._ahead.popleft()
+    def _start_next(self):
+        """Start the handler of the oldest queued request."""
+        request, reply = self._queued.popleft()
         self._task = asyncio.ensure_future(self._listener.handle(request, reply))
-        self._task.add_done_callback(lambda task: self._on_served(task, reply))
+        self._task.add_done_callback(lambda task: self._on_handler_done(task, reply))
 
-    def _on_served(self, task, reply):
-        """Go on after an answer, or break off when there was none."""
+    def _on_handler_done(self, task, reply):
+        """Start the next request, or close the connection.
+
+        A handler that ended without a complete response aborts the connection.
+        """
         self._task = None
-        self.active_s = self._listener.clock()
+        self.last_active_s = self._listener.clock()
         if not task.cancelled() and task.exception() is not None:
             self._listener.log("error", "handler_failed", error=repr(task.exception()))
         if self._transport is None:
@@ -272,18 +279,18 @@
         if not reply.is_ended:
             self.abort()
             return
-        if not reply.keeps_alive or self._is_refused:
+        if not reply.keeps_alive or self._is_rejected:
             self.close()
             return
-        if self._ahead:
+        if self._queued:
             self._transport.resume_reading()
-            self._begin_next()
+            self._start_next()
 
-    def _refuse(self, refusal, detail):
-        """Answer a request that can't be read, and close the connection."""
-        if self._is_refused:
+    def _reject(self, refusal, detail):
+        """Send the error response to a request that can't be parsed, then close."""
+        if self._is_rejected:
             return
-        self._is_refused = True
+        self._is_rejected = True
         self._listener.log(
             "warning",
             "request_unreadable",
@@ -292,7 +299,8 @@
             detail=detail,
         )
         if self._task is not None:
-            # An answer is under way; it is finished, then the connection closes.
+            # An earlier request is being handled; `_on_handler_done` closes the
+            # connection after its response.
             return
         headers, body = self._listener.encode_refusal(refusal, "")
         Reply(self, False, False).send(refusal.status, headers, body)
@@ -300,18 +308,20 @@
 
 
 class Listener:
-    """Listens for callers, on one or more addresses.
+    """Accepts connections of callers on one or more addresses.
 
     Parameters
     ----------
     handle : callable
-        Coroutine ``handle(request, reply)``; cancelled when the caller leaves.
+        Coroutine function ``handle(request, reply)``; the listener cancels it when the
+        caller disconnects.
     decode_request : callable
-        ``decode_request(method, target, headers, body)`` returns the typed request.
+        ``decode_request(method, target, headers, body)`` returns the decoded request.
     encode_refusal : callable
-        ``encode_refusal(refusal, request_id)`` returns headers and body of a refusal.
+        ``encode_refusal(refusal, request_id)`` returns headers and body of an error
+        response.
     clock, log : callable
-        Steady clock in seconds, and structured log.
+        Monotonic clock in seconds, and function ``log(level, event, **fields)``.
     """
 
     def __init__(self, handle, decode_request, encode_refusal, clock, log):
@@ -322,39 +332,39 @@
         self.log = log
         self.connections = set()
         self.is_draining = False
-        self.max_header_bytes = FIRST_HEADER_BYTES
-        self.max_body_bytes = FIRST_BODY_BYTES
-        self._idle_s = FIRST_IDLE_S
-        self._header_s = FIRST_HEADER_S
+        self.max_header_bytes = DEFAULT_MAX_HEADER_BYTES
+        self.max_body_bytes = DEFAULT_MAX_BODY_BYTES
+        self._idle_timeout_s = DEFAULT_IDLE_TIMEOUT_S
+        self._header_timeout_s = DEFAULT_HEADER_TIMEOUT_S
         self._servers = []
-        self._sweeper = None
+        self._cleanup_task = None
 
     async def start(self, ip, port):
-        """Listen; port 0 takes a free one.
+        """Listen on an address; port 0 takes a free port.
 
         Returns
         -------
         int
-            The port.
+            Port of the listener.
         """
         loop = asyncio.get_running_loop()
         server = await loop.create_server(
-            lambda: _Connection(self), ip, port, backlog=BACKLOG
+            lambda: _Connection(self), ip, port, backlog=LISTEN_BACKLOG
         )
         self._servers.append(server)
-        if self._sweeper is None:
-            self._sweeper = asyncio.ensure_future(self._sweep())
+        if self._cleanup_task is None:
+            self._cleanup_task = asyncio.ensure_future(self._close_inactive())
         return server.sockets[0].getsockname()[1]
 
     def set_limits(self, limits):
-        """Take over the operator's limits."""
+        """Apply the operator's limits to current and later connections."""
         self.max_header_bytes = limits.header_bytes
         self.max_body_bytes = limits.body_bytes
-        self._idle_s = limits.idle_timeout_s
-        self._header_s = limits.header_timeout_s
+        self._idle_timeout_s = limits.idle_timeout_s
+        self._header_timeout_s = limits.header_timeout_s
 
     def stop_accepting(self):
-        """Take no new connection, and close those that are idle."""
+        """Accept no new connections, and close the idle ones."""
         for server in self._servers:
             server.close()
         for connection in list(self.connections):
@@ -362,25 +372,28 @@
                 connection.close()
 
     def count_active(self):
-        """Return the number of connections with a request under way."""
+        """Return the number of connections that receive or handle a request."""
         return sum(1 for connection in self.connections if not connection.is_idle)
 
     async def close(self):
-        """Close all connections at once."""
-        if self._sweeper is not None:
-            self._sweeper.cancel()
+        """Stop listening and abort all connections."""
+        if self._cleanup_task is not None:
+            self._cleanup_task.cancel()
         self.stop_accepting()
         for connection in list(self.connections):
             connection.abort()
 
-    async def _sweep(self):
-        """Close connections that have been idle, or have sent half a head, too long."""
+    async def _close_inactive(self):
+        """Close connections that are idle or paused within a request for too long."""
         while True:
-            await asyncio.sleep(SWEEP_S)
+            await asyncio.sleep(CLEANUP_INTERVAL_S)
             now_s = self.clock()
             for connection in list(self.connections):
-                quiet_s = now_s - connection.active_s
-                if connection.is_idle and quiet_s > self._idle_s + IDLE_MARGIN_S:
+                inactive_s = now_s - connection.last_active_s
+                if (
+                    connection.is_idle
+                    and inactive_s > self._idle_timeout_s + IDLE_TIMEOUT_MARGIN_S
+                ):
                     connection.close()
-                elif connection.is_reading and quiet_s > self._header_s:
+                elif connection.is_reading and inactive_s > self._header_timeout_s:
                     connection.close()
--- a/libs/http/tests/test_calls.py
+++ b/libs/http/tests/test_calls.py
@@ -1,4 +1,4 @@
-"""Whole calls against servers that fail, stall and send too much."""
+"""HttpClient against servers that fail, stall or send too much."""
 
 import asyncio
 
@@ -17,65 +17,65 @@
     return asyncio.run(asyncio.wait_for(coroutine, 20))
 
 
-def answer(body, length=None):
+def encode_response(body, length=None):
     size = len(body) if length is None else length
     return b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (size, body)
 
 
 async def call(script, calls=1, **options):
-    """Make calls one after the other; return the last answer and the server."""
+    """Make calls one after the other; return the last response and the server."""
     server = ScriptedEndpoint(script)
     address = await server.start()
     client = HttpClient(asyncio.get_running_loop().time)
     try:
         for _ in range(calls):
-            found = await client.call("GET", address, "/x", LIMITS, **options)
-        return found, server
+            result = await client.call("GET", address, "/x", LIMITS, **options)
+        return result, server
     finally:
         client.close()
         await server.close()
 
 
-def test_a_body_in_pieces_is_read_whole():
-    """The first piece of a long answer was taken for all of it."""
+def test_body_that_arrives_in_chunks_is_read_whole():
+    """Guards against taking the first chunk of a long body for the whole body."""
 
     async def script(number, head, body, writer):
-        writer.write(answer(b"one ", length=11))
+        writer.write(encode_response(b"one ", length=11))
         await asyncio.sleep(0.05)
         writer.write(b"and two")
 
-    found, _ = run(call(script))
-    assert found == (200, b"one and two")
+    result, _ = run(call(script))
+    assert result == (200, b"one and two")
 
 
-def test_a_query_and_a_body_arrive_as_given():
-    seen = []
+def test_query_and_body_are_sent():
+    received = []
 
     async def script(number, head, body, writer):
-        seen.append((head, body))
-        writer.write(answer(b""))
+        received.append((head, body))
+        writer.write(encode_response(b""))
 
     run(call(script, query={"after": "a b&c"}, body=b"{}"))
-    ((head, body),) = seen
+    ((head, body),) = received
     assert "GET /x?after=a+b%26c HTTP/1.1" in str(head)
     assert body == b"{}"
 
 
-def test_calls_use_one_connection_after_the_other():
+def test_successive_calls_reuse_the_connection():
     async def script(number, head, body, writer):
-        writer.write(answer(b"ok"))
+        writer.write(encode_response(b"ok"))
 
     _, server = run(call(script, calls=3))
     assert server.connections == 1
 
 
-def test_an_answer_that_stalls_is_given_up_and_not_asked_for_again():
-    """A write that is sent a second time by itself may undo one made in between."""
+def test_stalled_response_times_out_without_a_second_call():
+    """Guards against repeated writes, which could undo a write made in between."""
     arrived = []
 
     async def script(number, head, body, writer):
         arrived.append(number)
-        writer.write(answer(b"half", length=8))
+        writer.write(encode_response(b"half", length=8))
         await asyncio.sleep(5.0)
 
     with pytest.raises(TimeoutError):
@@ -83,7 +83,7 @@
     assert len(arrived) == 1
 
 
-def test_a_connection_that_breaks_is_an_error_and_not_a_second_call():
+def test_broken_connection_raises_without_a_second_call():
     arrived = []
 
     async def script(number, head, body, writer):
@@ -95,15 +95,15 @@
     assert len(arrived) == 1
 
 
-def test_a_body_that_is_too_large_is_an_error():
+def test_too_large_body_raises():
     async def script(number, head, body, writer):
-        writer.write(answer(b"x" * 2000))
+        writer.write(encode_response(b"x" * 2000))
 
     with pytest.raises(DecodeError):
         run(call(script))
 
 
-def test_an_address_without_a_listener_is_an_error():
+def test_address_without_listener_raises():
     async def scenario():
         client = HttpClient(asyncio.get_running_loop().time)
         await client.call("GET", "127.0.0.1:1", "/x", LIMITS)
--- a/libs/http/tests/test_connections.py
+++ b/libs/http/tests/test_connections.py
@@ -1,4 +1,4 @@
-"""Answers of endpoints that fail, cross or end in odd ways."""
+"""ConnectionPool against endpoints whose responses are late, mixed up or cut short."""
 
 import asyncio
 from typing import NamedTuple
@@ -18,7 +18,7 @@
 
 
 class Process(NamedTuple):
-    """One life of a process that is called."""
+    """Key and address of one incarnation of a process."""
 
     key: str
     address: str
@@ -35,17 +35,17 @@
     ).encode()
 
 
-async def ask(pool, process, request_id):
+async def exchange(pool, process, request_id):
     connection = await pool.acquire(*process, 10)
-    answer = connection.send(request_bytes(request_id), request_id)
+    response = connection.send(request_bytes(request_id), request_id)
     try:
-        head = await answer.head()
-        return head, await answer.body()
+        head = await response.head()
+        return head, await response.body()
     finally:
-        answer.close()
+        response.close()
 
 
-class Setting:
+class PoolFixture:
     """A pool and one scripted endpoint."""
 
     def __init__(self, script):
@@ -61,10 +61,11 @@
         await self.endpoint.close()
 
 
-def test_an_old_answer_is_read_past_to_the_request_s_own():
-    # An endpoint sends a second answer to an earlier request late, where the next
-    # answer on the connection is due. Taking it would give a caller another's answer;
-    # closing the connection would lose a booking that may have run.
+def test_late_response_to_an_earlier_request_is_skipped():
+    # Guards against an endpoint that sends a late, second response to an earlier
+    # request in place of the next one. Taking it would give a caller the response to
+    # another request; closing the connection would lose the outcome of a request that
+    # may have run and must not be repeated.
     async def script(number, head, body, writer):
         request_id = request_id_of(head)
         if number == 1:
@@ -72,27 +73,31 @@
         writer.write(answer_to(request_id, request_id.encode()))
 
     async def scenario():
-        async with Setting(script) as setting:
-            assert (await ask(setting.pool, setting.process, "first"))[1] == b"first"
-            assert (await ask(setting.pool, setting.process, "second"))[1] == b"second"
-            assert setting.endpoint.connections == 1
+        async with PoolFixture(script) as fixture:
+            assert (await exchange(fixture.pool, fixture.process, "first"))[
+                1
+            ] == b"first"
+            assert (await exchange(fixture.pool, fixture.process, "second"))[
+                1
+            ] == b"second"
+            assert fixture.endpoint.connections == 1
 
     run(scenario())
 
 
-def test_bytes_behind_a_whole_answer_end_the_connection():
-    # Whatever follows a complete answer belongs to no request; the next request on the
-    # same connection would find it where its own answer should begin.
+def test_data_after_a_complete_response_closes_the_connection():
+    # Guards against taking such data, which belongs to no request, for the beginning of
+    # the response to the next request.
     async def script(number, head, body, writer):
         request_id = request_id_of(head)
         writer.write(answer_to(request_id) + b"rubbish")
 
     async def scenario():
-        async with Setting(script) as setting:
+        async with PoolFixture(script) as fixture:
             for name in ("first", "second"):
-                head, body = await ask(setting.pool, setting.process, name)
+                head, body = await exchange(fixture.pool, fixture.process, name)
                 assert (head.request_id, body) == (name, b"whole")
-            assert setting.endpoint.connections == 2
+            assert fixture.endpoint.connections == 2
 
     run(scenario())
 
@@ -100,38 +105,37 @@
 @pytest.mark.parametrize(
     "framing", ["Content-Length: 10", "Transfer-Encoding: chunked"]
 )
-def test_an_answer_that_ends_early_is_broken(framing):
+def test_truncated_response_raises(framing):
     async def script(number, head, body, writer):
         part = b"5\r\nwhole\r\n" if "chunked" in framing else b"whole"
         writer.write(answer_to(request_id_of(head), part, framing=framing))
         writer.close()
 
     async def scenario():
-        async with Setting(script) as setting:
+        async with PoolFixture(script) as fixture:
             with pytest.raises(CallError) as caught:
-                await ask(setting.pool, setting.process, "r")
+                await exchange(fixture.pool, fixture.process, "r")
             assert (caught.value.reason, caught.value.may_have_run) == ("broken", True)
 
     run(scenario())
 
 
-def test_an_answer_without_a_length_ends_with_its_connection():
+def test_response_without_length_ends_at_eof():
     async def script(number, head, body, writer):
         writer.write(answer_to(request_id_of(head), framing="Connection: close"))
         writer.close()
 
     async def scenario():
-        async with Setting(script) as setting:
-            assert (await ask(setting.pool, setting.process, "r"))[1] == b"whole"
+        async with PoolFixture(script) as fixture:
+            assert (await exchange(fixture.pool, fixture.process, "r"))[1] == b"whole"
 
     run(scenario())
 
 
 class ResetTransport:
-    """A transport whose peer has reset the connection, read as a plain end.
+    """A transport after a reset by the peer that the loop reports as a regular end.
 
-    The loop asks the socket for data, gets none, and reports an end; the error of the
-    reset is still pending at the socket.
+    The error of the reset is still pending at the socket.
     """
 
     def get_extra_info(self, name):
@@ -156,10 +160,10 @@
         return None
 
 
-def test_half_an_answer_without_a_length_is_not_whole_after_a_reset():
-    # An endpoint crashes in the middle of an answer without a length. Its reset shows
-    # to the loop as a plain end, as for an answer that is complete, and the caller got
-    # half an answer as a whole one. The socket's pending error tells the two apart.
+def test_reset_within_a_response_without_length_raises():
+    # An endpoint crashed within a response without a length. The event loop reported
+    # the reset as a regular end, so that the caller got half a response as a whole one.
+    # The error that is pending at the socket distinguishes the two cases.
     async def scenario():
         loop = asyncio.get_running_loop()
         pool = create_pool()
@@ -171,50 +175,50 @@
 
         loop.create_connection = no_connection
         connection = await pool.acquire("e-1", "127.0.0.1:1", 10)
-        answer = connection.send(b"", "r")
+        response = connection.send(b"", "r")
         connection.data_received(answer_to("r", b"ha", framing="Connection: close"))
         connection.eof_received()
         connection.connection_lost(None)
         with pytest.raises(CallError):
-            await answer.body()
+            await response.body()
 
     run(scenario())
 
 
-def test_a_connection_is_not_used_past_the_time_that_the_endpoint_gave():
-    # An endpoint closes idle connections after a second. A request sent just then would
-    # be reset, and one that runs at most once would be lost.
+def test_connection_is_not_reused_after_the_announced_idle_timeout():
+    # Guards against sending a request while the endpoint closes the idle connection,
+    # here after 1 s. The request would be reset, and lost if it may run at most once.
     async def script(number, head, body, writer):
         keep = ("Keep-Alive: timeout=1",)
         writer.write(answer_to(request_id_of(head), extra=keep))
 
     async def scenario():
-        async with Setting(script) as setting:
-            await ask(setting.pool, setting.process, "first")
+        async with PoolFixture(script) as fixture:
+            await exchange(fixture.pool, fixture.process, "first")
             await asyncio.sleep(0.6)
-            await ask(setting.pool, setting.process, "second")
-            assert setting.endpoint.connections == 2
+            await exchange(fixture.pool, fixture.process, "second")
+            assert fixture.endpoint.connections == 2
 
     run(scenario())
 
 
-def test_a_restarted_endpoint_gets_no_connection_of_its_past():
-    # An endpoint restarts under its id at its old address. A connection that was opened
-    # to its past may hang, and counts of its past don't hold.
+def test_restarted_endpoint_gets_a_new_connection():
+    # An endpoint restarts with its id and address. A connection to its previous
+    # incarnation may hang, and doesn't count against the limit of the new one.
     async def script(number, head, body, writer):
         writer.write(answer_to(request_id_of(head)))
 
     async def scenario():
-        async with Setting(script) as setting:
-            await ask(setting.pool, setting.process, "first")
-            again = setting.process._replace(key="e-1 again")
-            await ask(setting.pool, again, "second")
-            assert setting.endpoint.connections == 2
+        async with PoolFixture(script) as fixture:
+            await exchange(fixture.pool, fixture.process, "first")
+            restarted = fixture.process._replace(key="e-1 again")
+            await exchange(fixture.pool, restarted, "second")
+            assert fixture.endpoint.connections == 2
 
     run(scenario())
 
 
-def test_a_refused_connection_is_told_as_not_sent():
+def test_refused_connection_is_reported_as_not_run():
     async def scenario():
         pool = create_pool()
         with pytest.raises(CallError) as caught:
@@ -224,17 +228,17 @@
     run(scenario())
 
 
-def test_a_host_keeps_to_its_part_of_an_endpoint_s_connections():
+def test_number_of_connections_to_a_process_is_limited():
     async def script(number, head, body, writer):
         await asyncio.Event().wait()
 
     async def scenario():
-        async with Setting(script) as setting:
+        async with PoolFixture(script) as fixture:
             for number in range(5):
-                connection = await setting.pool.acquire(*setting.process, 5)
+                connection = await fixture.pool.acquire(*fixture.process, 5)
                 connection.send(request_bytes(str(number)), str(number))
             with pytest.raises(CallError) as caught:
-                await setting.pool.acquire(*setting.process, 5)
+                await fixture.pool.acquire(*fixture.process, 5)
             assert caught.value.reason == "no_connection"
 
     run(scenario())
--- a/libs/http/tests/test_listener.py
+++ b/libs/http/tests/test_listener.py
@@ -1,4 +1,4 @@
-"""What callers send, well formed or not, against the real listener."""
+"""Listener with valid and malformed requests, over real sockets."""
 
 import asyncio
 import socket
@@ -29,8 +29,8 @@
 }
 
 
-class Caller:
-    """A caller and the listener that it talks to."""
+class CallerFixture:
+    """A listener and one caller that is connected to it."""
 
     def __init__(self, handle=None):
         self.requests = []
@@ -38,18 +38,18 @@
         self.cancelled = asyncio.Event()
         loop = asyncio.get_running_loop()
         self.listener = Listener(
-            handle or self.answer, decode_request, encode_refusal, loop.time, self.log
+            handle or self.echo, decode_request, encode_refusal, loop.time, self.log
         )
         self.reader = self.writer = None
 
     def log(self, level, event, **fields):
         self.events.append((event, fields))
 
-    async def answer(self, request, reply):
+    async def echo(self, request, reply):
         self.requests.append(request)
         reply.send(200, [("X-Seen", request.target)], request.body)
 
-    async def wait_for_ever(self, request, reply):
+    async def wait_forever(self, request, reply):
         self.requests.append(request)
         try:
             await asyncio.Event().wait()
@@ -68,7 +68,7 @@
         self.writer.close()
         await self.listener.close()
 
-    async def read_answer(self):
+    async def read_response(self):
         head = await self.reader.readuntil(b"\r\n\r\n")
         length = 0
         for line in head.split(b"\r\n"):
@@ -82,25 +82,26 @@
 
 
 @pytest.mark.parametrize("name", MALFORMED)
-def test_a_request_with_doubtful_framing_is_refused_and_nothing_behind_it_is_read(name):
-    # A caller hides a request in the body of another one, by a framing that two
-    # parsers read differently. The hidden one would run at an endpoint though no
-    # caller sent it under its id. The connection has to end with the first one.
+def test_ambiguous_framing_is_rejected_and_the_connection_closed(name):
+    # Guards against request smuggling: a request in the body of another one, with a
+    # framing that two parsers read differently. The hidden request would run at an
+    # endpoint without an id of a caller. The connection must end with the first
+    # request.
     async def scenario():
-        async with Caller() as caller:
+        async with CallerFixture() as caller:
             caller.writer.write(MALFORMED[name])
-            answer = await caller.reader.read()
-            assert answer.startswith(b"HTTP/1.1 400 ")
-            assert b"HTTP/1.1" not in answer[9:]
+            response = await caller.reader.read()
+            assert response.startswith(b"HTTP/1.1 400 ")
+            assert b"HTTP/1.1" not in response[9:]
             assert [request.target for request in caller.requests] == []
 
     run(scenario())
 
 
-def test_why_callers_are_not_served_by_sanic():
-    # The reason for a parser of our own choice: sanic takes "Content-Length : 33" for
-    # no length, and serves the request in the body as one of its own. Should it learn
-    # to refuse it, this fails, and the listener can go back to it.
+def test_sanic_accepts_a_smuggled_request():
+    # Documents why the listener doesn't use sanic: sanic ignores "Content-Length : 33"
+    # and serves the request in the body as a separate one. If this test fails because
+    # sanic rejects the header, the listener can use sanic.
     async def scenario():
         app = Sanic("why", configure_logging=False)
         app.config.TOUCHUP = False
@@ -128,40 +129,40 @@
     run(scenario())
 
 
-def test_requests_sent_ahead_are_answered_in_order():
+def test_pipelined_requests_are_answered_in_order():
     async def scenario():
-        async with Caller() as caller:
+        async with CallerFixture() as caller:
             first = b"POST /1 HTTP/1.1\r\nHost: x\r\nContent-Length: 2\r\n\r\nab"
             second = b"GET /2 HTTP/1.1\r\nHost: x\r\n\r\n"
             caller.writer.write(first + second)
-            assert await caller.read_answer() == (
+            assert await caller.read_response() == (
                 b"HTTP/1.1 200 OK\r\nX-Seen: /1\r\nContent-Length: 2\r\n\r\n",
                 b"ab",
             )
-            head, _ = await caller.read_answer()
+            head, _ = await caller.read_response()
             assert b"X-Seen: /2" in head
 
     run(scenario())
 
 
-def test_a_body_in_chunks_is_passed_on_whole():
+def test_chunked_body_is_decoded():
     async def scenario():
-        async with Caller() as caller:
+        async with CallerFixture() as caller:
             caller.writer.write(
                 b"POST /a HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: Chunked\r\n\r\n"
                 b"3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n"
             )
-            assert (await caller.read_answer())[1] == b"abcde"
+            assert (await caller.read_response())[1] == b"abcde"
 
     run(scenario())
 
 
-def test_work_for_a_caller_that_leaves_ends_at_once():
-    # A caller gives up while its request waits for an endpoint. The endpoint would work
-    # on for nobody unless its leaving is noticed at once, not at the next write.
+def test_handler_is_cancelled_when_the_caller_disconnects():
+    # A caller disconnects while its request waits for an endpoint. If the listener
+    # noticed this only at its next write, the endpoint would go on working for nothing.
     async def scenario():
-        async with Caller() as caller:
-            caller.listener.handle = caller.wait_for_ever
+        async with CallerFixture() as caller:
+            caller.listener.handle = caller.wait_forever
             caller.writer.write(b"GET /a HTTP/1.1\r\nHost: x\r\n\r\n")
             while not caller.requests:
                 await asyncio.sleep(0.001)
@@ -171,16 +172,16 @@
     run(scenario())
 
 
-def test_an_answer_that_fails_midway_does_not_look_complete():
-    # The endpoint breaks off in the middle of a stream. An end marker behind the part
-    # that came would make half an answer a whole one.
+def test_handler_that_ends_early_aborts_the_response():
+    # An endpoint fails in the middle of a stream. An end marker after the data so far
+    # would make the truncated response look complete.
     async def scenario():
         async def half(request, reply):
             reply.start(200, [])
             reply.write(b"half")
             await reply.drain()
 
-        async with Caller(half) as caller:
+        async with CallerFixture(half) as caller:
             caller.writer.write(b"GET /a HTTP/1.1\r\nHost: x\r\n\r\n")
             with pytest.raises((ConnectionError, asyncio.IncompleteReadError)):
                 await caller.reader.readuntil(b"0\r\n\r\n")
@@ -188,24 +189,24 @@
     run(scenario())
 
 
-def test_a_leaving_host_answers_and_closes_and_never_cuts():
-    # A host is told to stop while requests come in on kept connections. Each is still
-    # answered whole, with word that the connection closes, so no caller's request
-    # crosses the close unread.
+def test_draining_listener_answers_and_then_closes():
+    # A host is told to stop while callers send requests on persistent connections. Each
+    # request still gets a complete response, with "Connection: close", so that no
+    # caller sends a request while the host closes the connection.
     async def scenario():
-        async with Caller() as caller:
+        async with CallerFixture() as caller:
             caller.listener.is_draining = True
             caller.writer.write(b"GET /a HTTP/1.1\r\nHost: x\r\n\r\n")
-            head, _ = await caller.read_answer()
+            head, _ = await caller.read_response()
             assert b"Connection: close" in head
             assert await caller.reader.read() == b""
 
     run(scenario())
 
 
-def test_a_header_over_the_limit_is_refused_before_it_is_whole():
+def test_too_large_header_is_rejected_before_its_end():
     async def scenario():
-        async with Caller() as caller:
+        async with CallerFixture() as caller:
             caller.listener.max_header_bytes = 100
             caller.writer.write(b"GET /a HTTP/1.1\r\nX: " + b"x" * 200 + b"\r\nY: ")
             assert (await caller.reader.read()).startswith(b"HTTP/1.1 431 ")
@@ -214,9 +215,9 @@
     run(scenario())
 
 
-def test_a_body_over_the_limit_is_refused():
+def test_too_large_body_is_rejected():
     async def scenario():
-        async with Caller() as caller:
+        async with CallerFixture() as caller:
             caller.listener.max_body_bytes = 10
             caller.writer.write(
                 b"POST /a HTTP/1.1\r\nHost: x\r\nContent-Length: 20\r\n\r\n" + b"x" * 20
