--- a/libs/process/gypsumusher_process/__init__.py
+++ b/libs/process/gypsumusher_process/__init__.py
@@ -1,4 +1,4 @@
-"""What every process needs: its start, the event loop, and logs that never block."""
+"""Start of a process, its event loop, signal handlers, and non-blocking logs."""
 
 from gypsumusher_process.bounded_log import BoundedLog, create_bounded_log
 from gypsumusher_process.event_loop import (
--- a/libs/process/gypsumusher_process/event_loop.py
+++ b/libs/process/gypsumusher_process/event_loop.py
@@ -1,8 +1,9 @@
-"""The event loop: uvloop on one thread, with io_uring kept off."""
+"""The event loop: uvloop without io_uring."""
 
 import os
 
-# libuv reads this once, at its first loop; so it is set before uvloop is imported.
+# libuv reads this variable once, when it creates its first loop, so it is set before
+# uvloop is imported.
 os.environ["UV_USE_IO_URING"] = "0"
 
 import uvloop  # noqa: E402
@@ -13,41 +14,41 @@
 
 
 def list_io_uring_fds():
-    """Return the io_uring file descriptors that this process has open.
+    """Return the open io_uring file descriptors of this process.
 
     Returns
     -------
     list of str
-        Targets of the descriptors, empty when there is none.
+        Link targets of the descriptors; empty when there are none.
     """
-    rings = []
+    ring_targets = []
     for name in os.listdir("/proc/self/fd"):
         try:
             target = os.readlink(f"/proc/self/fd/{name}")
         except OSError:
             continue
         if "io_uring" in target:
-            rings.append(target)
-    return rings
+            ring_targets.append(target)
+    return ring_targets
 
 
 def check_no_io_uring():
-    """Refuse to go on when the loop opened an io_uring.
+    """Raise an error if the event loop has opened an io_uring.
 
-    The users' machines forbid io_uring; uvloop 0.23 opens one in spite of the
-    variable above. It shows as a file descriptor, so looking for one before the
-    first request catches any version that does.
+    The users' machines forbid io_uring, and uvloop 0.23 opens one in spite of
+    ``UV_USE_IO_URING=0``. An io_uring has a file descriptor, so that this check before
+    the first request finds it with any version of uvloop.
 
     Raises
     ------
     StartError
-        When a ring is open.
+        When an io_uring is open.
     """
-    rings = list_io_uring_fds()
-    if rings:
+    ring_targets = list_io_uring_fds()
+    if ring_targets:
         raise StartError(
-            "step=loop an io_uring is open; install uvloop>=0.21,<0.23 and leave "
-            "UV_USE_IO_URING to the daemon"
+            "step=loop the event loop uses io_uring, which is not allowed; install "
+            "uvloop>=0.21,<0.23 and don't change UV_USE_IO_URING, which the daemon sets"
         )
 
 
@@ -57,6 +58,6 @@
     Parameters
     ----------
     main : coroutine
-        The program.
+        Main coroutine of the program.
     """
     return uvloop.run(main)
--- a/libs/process/gypsumusher_process/log_lines.py
+++ b/libs/process/gypsumusher_process/log_lines.py
@@ -1,38 +1,38 @@
-"""One line of key=value pairs for each event."""
+"""Log lines: one line of key=value pairs for each event."""
 
 import re
 import sys
 
 __all__ = ["create_log", "format_fields", "parse_fields"]
 
-# How a record of the log library becomes a line.
+# Format of a record of the log library.
 LINE_FORMAT = (
     "time={record.time:%Y-%m-%dT%H:%M:%S.%f}Z "
     "level={record.level_name} {record.message}"
 )
-_FIELD = re.compile(r'(\w+)=("(?:[^"\\]|\\.)*"|[^ ]*)')
+_FIELD_PATTERN = re.compile(r'(\w+)=("(?:[^"\\]|\\.)*"|[^ ]*)')
 _ESCAPES = {"n": "\n", "r": "\r"}
 
 
 def format_fields(fields):
-    """Return ``key=value`` pairs, values quoted where they need it.
+    """Format fields as ``key=value`` pairs; values are quoted where necessary.
 
     Parameters
     ----------
     fields : dict
-        Values by key; None values are left out. Must hold no payloads or secrets.
+        Values by key; None values are left out. They must hold no payloads or secrets.
 
     Returns
     -------
     str
-        One line.
+        One line, without a line feed.
     """
     parts = []
     for key, value in fields.items():
         if value is None:
             continue
         text = f"{value:.6g}" if isinstance(value, float) else str(value)
-        if not text or any(mark in text for mark in ' "=\n\r\t'):
+        if not text or any(special in text for special in ' "=\n\r\t'):
             escaped = text.replace("\\", "\\\\").replace('"', '\\"')
             escaped = escaped.replace("\n", "\\n").replace("\r", "\\r")
             text = f'"{escaped}"'
@@ -41,19 +41,20 @@
 
 
 def parse_fields(line):
-    """Return the values by key of a line that `format_fields` wrote.
+    """Parse a line that `format_fields` wrote.
 
     Parameters
     ----------
     line : str
-        The line; what isn't a ``key=value`` pair is passed over.
+        The line; text outside of ``key=value`` pairs is ignored.
 
     Returns
     -------
     dict of str to str
+        Unquoted values by key.
     """
     fields = {}
-    for key, text in _FIELD.findall(line):
+    for key, text in _FIELD_PATTERN.findall(line):
         if text.startswith('"'):
             text = re.sub(
                 r"\\(.)", lambda match: _ESCAPES.get(match[1], match[1]), text[1:-1]
@@ -68,18 +69,19 @@
     Parameters
     ----------
     host : str
-        Name of this host; stands on each line.
+        Name of this host, a field of each line.
     level : str
-        Least level: debug, info, warning or error.
+        Lowest level that is logged: debug, info, warning or error.
     stream : file or None
-        Where lines go; standard error by default.
+        Stream for the lines; standard error by default.
 
     Returns
     -------
     callable
         ``log(level, event, **fields)``.
     """
-    # Its import takes as long as all of a small program, so only who uses it pays.
+    # Imported here, since the import takes as long as the rest of a small program, and
+    # programs that don't call this function needn't wait for it.
     import logbook
 
     handler = logbook.StreamHandler(
--- a/libs/process/gypsumusher_process/program.py
+++ b/libs/process/gypsumusher_process/program.py
@@ -1,4 +1,4 @@
-"""How a daemon's command starts, and what signals tell it."""
+"""Start of a daemon from its command line, and its signal handlers."""
 
 import asyncio
 import signal
@@ -9,28 +9,31 @@
 
 __all__ = ["install_signal_handlers", "run_program"]
 
+# Exit status for invalid settings, and for a failure to start.
 EXIT_USAGE = 2
 EXIT_FAILED = 1
 
 
 def run_program(name, load, serve, format_settings=None):
-    """Load a program's settings and serve with them, or only check them.
+    """Load the settings of a program, then run it or only report them as valid.
 
     Parameters
     ----------
     name : str
-        The program, for its errors on standard error.
+        Name of the program, for errors on standard error.
     load : callable
-        Returns the settings.
+        Function that loads and returns the settings.
     serve : coroutine function
-        ``await serve(settings)`` until the program is told to stop.
+        ``serve(settings)`` runs until the program is told to stop.
     format_settings : callable or None
-        Returns the line to print of good settings; given, nothing is served.
+        With a function, the program isn't run; the line that the function returns for
+        the settings is printed instead.
 
     Returns
     -------
     int
-        0 after a planned stop, 2 for bad settings, 1 when the program can't start.
+        Exit status: 0 after a regular stop, 2 for invalid settings, 1 when the program
+        can't start.
     """
     try:
         settings = load()
@@ -49,16 +52,17 @@
 
 
 def install_signal_handlers(reload):
-    """Have SIGHUP reload settings; return the event that SIGTERM and SIGINT set.
+    """Install handlers for SIGHUP, SIGTERM and SIGINT.
 
     Parameters
     ----------
     reload : callable
-        Takes the settings anew; called within the running loop.
+        Called on SIGHUP, within the event loop, to load the settings again.
 
     Returns
     -------
     asyncio.Event
+        Set by SIGTERM and SIGINT.
     """
     loop = asyncio.get_running_loop()
     stop = asyncio.Event()
