--- a/libs/http/gypsumusher_http/__init__.py
+++ b/libs/http/gypsumusher_http/__init__.py
@@ -11,11 +11,11 @@
 from gypsumusher_http.listener import Listener, Reply
 
 __all__ = [
-    "Response",
     "CallError",
     "CallLimits",
-    "HttpClient",
     "ConnectionPool",
+    "HttpClient",
     "Listener",
     "Reply",
+    "Response",
 ]
--- a/libs/http/gypsumusher_http/calls.py
+++ b/libs/http/gypsumusher_http/calls.py
@@ -120,7 +120,7 @@
             received_bytes += len(chunk)
             if received_bytes > limits.max_body_bytes:
                 raise DecodeError(
-                    "body", name, f"body is larger than {limits.max_body_bytes} bytes"
+                    "body", name, f"body over {limits.max_body_bytes} bytes"
                 )
             chunks.append(chunk)
 
--- a/libs/http/gypsumusher_http/connections.py
+++ b/libs/http/gypsumusher_http/connections.py
@@ -14,7 +14,7 @@
 
 from gypsumusher_http.errors import CallError
 
-__all__ = ["Response", "ConnectionPool"]
+__all__ = ["ConnectionPool", "Response"]
 
 # Time for which an idle connection is reused when the endpoint announces no time-out.
 DEFAULT_IDLE_TIMEOUT_S = 4.0
@@ -102,7 +102,7 @@
         self._connection.end_request(self)
 
     def on_head(self, head):
-        """Set the head; wakes the tasks that wait for it."""
+        """Set the head and wake the tasks that wait for it."""
         if not self._head.done():
             self._head.set_result(head)
 
@@ -430,5 +430,6 @@
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEPALIVE_INTERVAL_S)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, KEEPALIVE_COUNT)
     except OSError:
-        # The connection works without them; only a dead peer is detected later.
+        # The connection works without these options; a dead peer is only detected
+        # later.
         return
--- a/libs/ports/gypsumusher_ports/answers.py
+++ b/libs/ports/gypsumusher_ports/answers.py
@@ -2,7 +2,7 @@
 
 from typing import NamedTuple
 
-__all__ = ["ResponseHead", "PrefillResult", "Refusal"]
+__all__ = ["PrefillResult", "Refusal", "ResponseHead"]
 
 
 class ResponseHead(NamedTuple):
