--- a/libs/entry/gypsumusher_entry/reading.py
+++ b/libs/entry/gypsumusher_entry/prefill.py
@@ -1,11 +1,11 @@
 """Prompts that are read apart, by an engine that hands its KV cache on."""
 
 from gypsumusher_entry.errors import OverloadedError
-from gypsumusher_entry.sending import (
-    ask_engine,
-    note_failure,
-    open_send,
-    silence_limit,
+from gypsumusher_entry.sending_to_endpoints import (
+    call_engine,
+    record_failure,
+    silence_timeout,
+    start_send,
 )
 from gypsumusher_http import CallError
 from gypsumusher_platform import decode_prefill_result, encode_handle_release
@@ -13,12 +13,12 @@
 from gypsumusher_routing import (
     HOPELESS,
     TIMELY,
-    SeenReading,
-    choose_reading,
+    PrefillObservation,
+    choose_prefill,
     urgency_of,
 )
 
-__all__ = ["Prompt", "learn_reading", "read_prompt"]
+__all__ = ["PrefilledPrompt", "record_prefill", "prefill_prompt"]
 
 # Engines that are asked to read one prompt; after that the engine that makes the tokens
 # reads it itself.
@@ -27,7 +27,7 @@
 FREE_TIMEOUT_S = 1.0
 
 
-class Prompt:
+class PrefilledPrompt:
     """A prompt that an engine has read and keeps for a while.
 
     Parameters
@@ -52,7 +52,7 @@
         record = self.state.record
         call = encode_handle_release(record.address, self.handle)
         try:
-            await ask_engine(context, record, call, FREE_TIMEOUT_S)
+            await call_engine(context, record, call, FREE_TIMEOUT_S)
         except (CallError, TimeoutError) as error:
             # It lapses by itself; until then it takes memory from others.
             context.log(
@@ -63,7 +63,7 @@
             )
 
 
-async def read_prompt(exchange, limits):
+async def prefill_prompt(exchange, limits):
     """Have the prompt read apart, where that is expected to be done first.
 
     Parameters
@@ -75,7 +75,7 @@
 
     Returns
     -------
-    Prompt or None
+    PrefilledPrompt or None
         None when the engine that makes the tokens is to read it.
 
     Raises
@@ -91,14 +91,14 @@
         states = context.endpoints.of_service(exchange.service)
         states = [s for s in states if s.record.endpoint_id not in tried]
         fleet = context.fleet(exchange.service, limits, states)
-        reading = choose_reading(context.clock(), fleet, exchange.wish, context.draw)
+        reading = choose_prefill(context.clock(), fleet, exchange.wish, context.draw)
         if reading is None:
             return None
         if reading.lane == HOPELESS:
             raise OverloadedError(
-                reading.expected_s, exchange.first_event_limits.given_up_s
+                reading.expected_s, exchange.first_event_limits.abandoned_s
             )
-        if not reading.is_apart:
+        if not reading.is_disaggregated:
             return None
         exchange.reserve_send()
         tried.add(reading.state.record.endpoint_id)
@@ -122,34 +122,34 @@
     )
     began_s = context.clock()
     state.own_running += 1
-    state.begin_reading(reading.cost_s, reading.lane)
+    state.begin_prefill(reading.cost_s, reading.lane)
     parts = exchange.request.generation.parts
     context.note_placement(state, parts, wait_s=reading.expected_s)
     context.note_reading_begun()
     learnt = context.learnt(exchange.service)
-    limit_s = learnt.silent_after_s(state.stage, reading.expected_s)
-    longest_s = exchange.first_event_limits.given_up_s
+    limit_s = learnt.prefill_timeout_s(state.stage, reading.expected_s)
+    longest_s = exchange.first_event_limits.abandoned_s
     if reading.lane != TIMELY:
         # Asked for elsewhere it would stand last again.
         limit_s = longest_s
     try:
-        async with silence_limit(exchange, limit_s, longest_s):
+        async with silence_timeout(exchange, limit_s, longest_s):
             answer = await _ask(exchange, state, send)
     except TimeoutError:
         reason = "behind" if state.has_answered_since(began_s) else "silent"
         error = CallError("prefill", state.record.address, reason, False)
-        note_failure(exchange, state, error, waited_s=context.clock() - began_s)
+        record_failure(exchange, state, error, waited_s=context.clock() - began_s)
         return None
     except CallError as error:
-        note_failure(exchange, state, error)
+        record_failure(exchange, state, error)
         return None
     finally:
         state.own_running -= 1
-        state.end_reading(reading.cost_s, reading.lane)
+        state.end_prefill(reading.cost_s, reading.lane)
     exchange.account.on_prompt_accepted()
     took_s = context.clock() - began_s
-    state.on_answer(context.clock())
-    learn_reading(exchange, reading, took_s)
+    state.on_answer_bytes(context.clock())
+    record_prefill(exchange, reading, took_s)
     state.health.on_success(context.clock())
     context.note_placement(state, parts)
     exchange.log(
@@ -157,38 +157,38 @@
         "prompt_read",
         endpoint=state.record.endpoint_id,
         tokens=exchange.request.generation.prompt_tokens,
-        kept=reading.kept_tokens,
+        kept=reading.cached_tokens,
         fetched_from=reading.fetch_address,
         lane=reading.lane,
         queue_ms=round(reading.queue_s * 1000),
         expected_ms=round(reading.expected_s * 1000),
         took_ms=round(took_s * 1000),
         cost_ms=round(reading.cost_s * 1000),
-        pace=round(state.pace.factor(context.clock()), 2),
+        pace=round(state.slowdown.factor(context.clock()), 2),
         margin=round(learnt.margin(state.stage), 2),
     )
-    return Prompt(state, answer)
+    return PrefilledPrompt(state, answer)
 
 
-def learn_reading(exchange, reading, took_s):
+def record_prefill(exchange, reading, took_s):
     """Take in what a reading took, in seconds."""
     context, state = exchange.context, reading.state
-    seen = SeenReading(
-        "prefill" if reading.is_apart else "decode",
+    seen = PrefillObservation(
+        "prefill" if reading.is_disaggregated else "decode",
         reading.lane,
         reading.new_tokens,
-        reading.kept_tokens,
+        reading.cached_tokens,
         reading.fetch_s,
         reading.cost_s,
         reading.queue_s,
         took_s,
     )
-    context.learnt(exchange.service).on_reading(context.clock(), state.pace, seen)
+    context.learnt(exchange.service).on_prefill(context.clock(), state.slowdown, seen)
 
 
 async def _ask(exchange, state, send):
     """Send the prompt to one engine; return what it says of it."""
-    answer = await open_send(exchange, state, send)
+    answer = await start_send(exchange, state, send)
     try:
         head = await answer.head()
         body = await answer.body()
