--- a/libs/process/tests/test_bounded_log.py
+++ b/libs/process/tests/test_bounded_log.py
@@ -52,43 +52,45 @@
 
 
 @pytest.fixture
-def fixture():
+def log_fixture():
     """Return a log that writes into a pipe of 4096 bytes."""
     created = LogFixture()
     yield created
     created.close()
 
 
-def test_line_has_the_fields_of_the_event(fixture):
-    fixture.log.log("info", "asked", id="r 1", took_ms=3, left=None)
-    fixture.run_timers()
-    line = fixture.read()
+def test_line_has_the_fields_of_the_event(log_fixture):
+    log_fixture.log.log("info", "asked", id="r 1", took_ms=3, left=None)
+    log_fixture.run_timers()
+    line = log_fixture.read()
     assert line.endswith('event=asked host=host-1 id="r 1" took_ms=3\n')
     assert "level=INFO" in line
 
 
-def test_stopped_reader_does_not_block_and_gets_the_number_of_dropped_lines(fixture):
+def test_stopped_reader_does_not_block_and_gets_the_number_of_dropped_lines(
+    log_fixture,
+):
     # The reader of the log stops, and the pipe fills up. A blocking write would stall
     # all requests of the host.
     for second in range(60):
-        fixture.now_s = float(second)
+        log_fixture.now_s = float(second)
         for _ in range(MAX_EVENT_LINES_PER_S):
-            fixture.log.log("info", f"event_{second % 7}", text="x" * 60)
-        fixture.run_timers()
-    assert len(fixture.log._buffer) <= MAX_BUFFER_BYTES
-    text = fixture.drain()
-    fixture.log.log("info", "after")
-    text += fixture.drain()
+            log_fixture.log.log("info", f"event_{second % 7}", text="x" * 60)
+        log_fixture.run_timers()
+    assert len(log_fixture.log._buffer) <= MAX_BUFFER_BYTES
+    text = log_fixture.drain()
+    log_fixture.log.log("info", "after")
+    text += log_fixture.drain()
     assert "event=log_dropped" in text
     assert "event=after" in text
 
 
-def test_burst_of_one_event_is_suppressed_and_counted(fixture):
+def test_burst_of_one_event_is_suppressed_and_counted(log_fixture):
     for _ in range(MAX_EVENT_LINES_PER_S + 50):
-        fixture.log.log("warning", "storm")
-    fixture.now_s = 1.5
-    fixture.log.log("info", "calm")
-    text = fixture.drain()
+        log_fixture.log.log("warning", "storm")
+    log_fixture.now_s = 1.5
+    log_fixture.log.log("info", "calm")
+    text = log_fixture.drain()
     assert text.count("event=storm") == MAX_EVENT_LINES_PER_S
     assert "event=log_folded host=host-1 folded=storm lines=50" in text
     assert "event=calm" in text
