--- a/libs/entry/gypsumusher_entry/cmdline.py
+++ b/libs/entry/gypsumusher_entry/cmdline.py
@@ -70,13 +70,13 @@
     log = bounded_log.log
     host = EntryHost(settings, log, metrics_port, policy)
     stop = install_signal_handlers(functools.partial(_reload, host))
-    off = [name for name in policy._fields if not getattr(policy, name)]
+    disabled = [name for name in policy._fields if not getattr(policy, name)]
     log(
         "info",
         "starting",
         zone=settings.zone,
         callers=settings.callers_address,
-        without=",".join(off) or None,
+        without=",".join(disabled) or None,
     )
     try:
         await host.start()
--- a/libs/entry/gypsumusher_entry/context.py
+++ b/libs/entry/gypsumusher_entry/context.py
@@ -35,10 +35,10 @@
 CONNECT_TIMEOUT_S = 0.35
 # Part of an endpoint's connections that all hosts together use: they don't agree on
 # their number at each moment, and a connection too many is reset.
-USED_CONNECTIONS_PART = 0.9
+USED_CONNECTIONS_FRACTION = 0.9
 # The active hosts are chosen anew this often, in seconds: a host is silent for longer
 # before it counts as dead, and the choice costs a sort of all hosts.
-ACTIVE_KEPT_S = 0.2
+ACTIVE_HOSTS_CACHE_S = 0.2
 
 
 class Context:
@@ -64,56 +64,58 @@
         self.clock = clock
         self.log = log
         self.metrics = metrics
-        self.draw = random.random
+        self.draw_uniform = random.random
         self.started_s = clock()
         self.configuration = None
-        self.configuration_source = None
+        self.stored_configuration = None
         self.routes = None
         self.endpoints = EndpointTable()
         self.hosts = HostTable(settings.name)
-        self.lags = StalenessMonitor(self)
-        self.pool = ConnectionPool(clock, decode_response_head, CONNECT_TIMEOUT_S)
-        self.overdue = StallMonitor(clock, log, self.next_tick)
+        self.staleness = StalenessMonitor(self)
+        self.connection_pool = ConnectionPool(
+            clock, decode_response_head, CONNECT_TIMEOUT_S
+        )
+        self.stall_monitor = StallMonitor(clock, log, self.wait_for_tick)
         # Engines that this host has ordered to change their stage, for the peers.
         self.ordered_stages = []
         # What is known of the lease for such orders; None until it is sought.
         self.stage_lease = None
-        self.is_leaving = False
-        self._store_seen_since_s = None
+        self.is_draining = False
+        self._store_reachable_since_s = None
         self.started_ms = int(time.time() * 1000)
-        self._active = []
-        self._active_at_s = float("-inf")
+        self._active_hosts = []
+        self._active_hosts_chosen_s = float("-inf")
         self.configuration_listeners = []
         # Called when a prompt is about to be sent to an engine.
-        self.reading_listeners = []
+        self.prefill_listeners = []
         # So that hosts that start together don't all wake at the same moments.
-        self._tick_offset_s = self.draw()
-        self._retry_shares = {}
-        self._learnt = {}
-        self._placements = []
-        self._background = set()
+        self._tick_offset_s = self.draw_uniform()
+        self._retry_budgets = {}
+        self._cost_models = {}
+        self._unsent_placements = []
+        self._background_tasks = set()
 
     @property
     def is_ready(self):
         """Whether this host takes callers."""
-        return not self.is_leaving and self.configuration is not None
+        return not self.is_draining and self.configuration is not None
 
     @property
     def sees_store(self):
         """Whether the store answers this host."""
-        return self._store_seen_since_s is not None
+        return self._store_reachable_since_s is not None
 
     @sees_store.setter
     def sees_store(self, sees):
         if not sees:
-            self._store_seen_since_s = None
-        elif self._store_seen_since_s is None:
-            self._store_seen_since_s = self.clock()
+            self._store_reachable_since_s = None
+        elif self._store_reachable_since_s is None:
+            self._store_reachable_since_s = self.clock()
 
     @property
-    def store_seen_s(self):
+    def store_reachable_s(self):
         """For how long the store has answered this host, in seconds."""
-        since_s = self._store_seen_since_s
+        since_s = self._store_reachable_since_s
         return 0.0 if since_s is None else self.clock() - since_s
 
     @property
@@ -121,7 +123,7 @@
         """Version in force, 0 without one."""
         return 0 if self.configuration is None else self.configuration.version
 
-    def own_news(self, beat=0, period_s=0.0):
+    def own_status(self, sequence=0, period_s=0.0):
         """Return what this host says of itself.
 
         Parameters
@@ -135,7 +137,7 @@
         return HostStatus(
             name=settings.name,
             started_ms=self.started_ms,
-            sequence=beat,
+            sequence=sequence,
             ip=settings.ip,
             zone=settings.zone,
             callers_address=settings.callers_address,
@@ -145,7 +147,7 @@
             endpoints_revision=self.endpoints.revision,
             capacity=host_capacity(settings.cores, settings.link_mbps),
             sees_store=self.sees_store,
-            store_reachable_s=self.store_seen_s,
+            store_reachable_s=self.store_reachable_s,
             period_s=period_s,
             hosts_recorded=self.hosts.recorded_count(),
         )
@@ -153,19 +155,21 @@
     def active_hosts(self):
         """Return the hosts that callers are sent to, in their common order."""
         now_s = self.clock()
-        if now_s - self._active_at_s > ACTIVE_KEPT_S:
-            hosts = [news for news in self.hosts.live(now_s) if news.is_ready]
+        if now_s - self._active_hosts_chosen_s > ACTIVE_HOSTS_CACHE_S:
+            hosts = [host for host in self.hosts.live(now_s) if host.is_ready]
             if self.is_ready:
-                hosts.append(self.own_news())
+                hosts.append(self.own_status())
             # One more than those that it knows: itself.
-            self._active = choose_active_hosts(hosts, len(self.hosts.addresses()) + 1)
-            self._active_at_s = now_s
-        return self._active
+            self._active_hosts = choose_active_hosts(
+                hosts, len(self.hosts.addresses()) + 1
+            )
+            self._active_hosts_chosen_s = now_s
+        return self._active_hosts
 
     def is_active(self):
         """Say whether callers are sent to this host."""
         name = self.settings.name
-        return any(news.name == name for news in self.active_hosts())
+        return any(host.name == name for host in self.active_hosts())
 
     def watches_store(self):
         """Say whether this host is one that watches the store for all.
@@ -174,22 +178,22 @@
         """
         active = self.active_hosts()
         watchers = choose_watchers(active)
-        if any(news.name == self.settings.name for news in watchers):
+        if any(host.name == self.settings.name for host in watchers):
             return True
         now_s = self.clock()
-        return not any(news.sees_store for news in self.hosts.live(now_s))
+        return not any(host.sees_store for host in self.hosts.live(now_s))
 
-    def gives_orders(self):
+    def should_order_stages(self):
         """Say whether this host is the one that orders engines' stages.
 
         Hosts that don't hear each other may both think so; the lease decides then.
         """
-        for news in self.active_hosts():
-            if news.sees_store:
-                return news.name == self.settings.name
+        for host in self.active_hosts():
+            if host.sees_store:
+                return host.name == self.settings.name
         return False
 
-    def hosts_count(self):
+    def expected_host_count(self):
         """Return the number of hosts that share the work, this one among them.
 
         Those that this host doesn't hear may be at work all the same.
@@ -197,7 +201,7 @@
         expected = active_host_count(self.hosts.existing_count())
         return max(1, len(self.active_hosts()), expected)
 
-    def adopt(self, configuration, stored, source):
+    def apply_configuration(self, configuration, stored, source):
         """Put a configuration in force, unless it is older than the one that is.
 
         Failure guarded against: a late answer or a peer that lags would bring back
@@ -220,23 +224,23 @@
         """
         if configuration.version <= self.configuration_version:
             return False
-        known = self.configuration_version
+        previous_version = self.configuration_version
         self.configuration = configuration
-        self.configuration_source = stored
-        self.metrics.configured(configuration.version)
+        self.stored_configuration = stored
+        self.metrics.set_configuration_version(configuration.version)
         self.routes = RouteTable(configuration)
-        memory = {}
+        cache_capacity_tokens = {}
         for service in configuration.services.values():
             if service.engine is not None:
-                memory[service.name] = service.engine.kv_tokens
-        self.endpoints.set_cache_capacity(memory)
+                cache_capacity_tokens[service.name] = service.engine.kv_tokens
+        self.endpoints.set_cache_capacity(cache_capacity_tokens)
         for listener in self.configuration_listeners:
             listener(configuration)
         self.log(
             "info",
             "configuration_adopted",
             version=configuration.version,
-            before=known,
+            before=previous_version,
             source=source,
             routes=len(configuration.routes),
         )
@@ -246,26 +250,26 @@
         """Return for how long callers may keep the list of hosts, in seconds."""
         return min(DIRECTORY_TTL_S, self.settings.bounds.directory_ttl_max_s)
 
-    def retry_share(self, service):
+    def retry_budget(self, service):
         """Return this host's share of the retries of a service."""
-        share = self._retry_shares.get(service)
-        if share is None:
+        budget = self._retry_budgets.get(service)
+        if budget is None:
             bounds = self.settings.bounds
-            share = self._retry_shares[service] = RetryBudget(
+            budget = self._retry_budgets[service] = RetryBudget(
                 bounds.retry_ratio,
                 bounds.retry_slack,
                 bounds.retry_window_s,
                 self.started_s,
             )
-        return share
+        return budget
 
-    def learnt(self, service):
+    def cost_model(self, service):
         """Return what the engines of a service have taught this host."""
-        if service not in self._learnt:
-            self._learnt[service] = CostModel(self.policy)
-        return self._learnt[service]
+        if service not in self._cost_models:
+            self._cost_models[service] = CostModel(self.policy)
+        return self._cost_models[service]
 
-    def fleet(self, service, limits, states=None):
+    def engine_pool(self, service, limits, states=None):
         """Return the engines that a request may use now.
 
         Parameters
@@ -279,9 +283,9 @@
         """
         if states is None:
             states = self.endpoints.of_service(service)
-        learnt, zone = self.learnt(service), self.settings.zone
-        connections = self.connections_max(service)
-        return EnginePool(states, limits, learnt, zone, connections, self.policy)
+        cost_model, zone = self.cost_model(service), self.settings.zone
+        connections = self.connection_limit(service)
+        return EnginePool(states, limits, cost_model, zone, connections, self.policy)
 
     def take_retry(self, service):
         """Use one retry of a service, unless this host's share is spent.
@@ -290,37 +294,45 @@
         -------
         RetryDecision
         """
-        return self.retry_share(service).take(self.clock(), self.hosts.existing_count())
+        return self.retry_budget(service).take(
+            self.clock(), self.hosts.existing_count()
+        )
 
-    def note_request(self, service):
+    def record_request(self, service):
         """Count a request of a service, for the retries that it allows."""
-        self.retry_share(service).on_first_send(
+        self.retry_budget(service).on_first_send(
             self.clock(), self.hosts.existing_count()
         )
 
-    def connections_max(self, service):
+    def connection_limit(self, service):
         """Return how many connections this host may have to one endpoint."""
-        known = self.configuration.services.get(service)
-        if known is None:
+        service_settings = self.configuration.services.get(service)
+        if service_settings is None:
             # A version that came meanwhile has dropped the service; what was begun
             # under the one before ends on the few connections that every host may have.
             return 0
-        return int(USED_CONNECTIONS_PART * known.max_connections / self.hosts_count())
+        return int(
+            USED_CONNECTIONS_FRACTION
+            * service_settings.max_connections
+            / self.expected_host_count()
+        )
 
-    async def acquire(self, record, connections_max, is_fresh=False):
+    async def acquire(self, record, connection_limit, is_fresh=False):
         """Return a connection to one incarnation of an endpoint.
 
         The rest is as of `ConnectionPool.acquire`.
         """
         key = (*record.incarnation, record.address)
-        return await self.pool.acquire(key, record.address, connections_max, is_fresh)
+        return await self.connection_pool.acquire(
+            key, record.address, connection_limit, is_fresh
+        )
 
-    def note_reading_begun(self):
+    def notify_prefill_start(self):
         """Note that an engine is about to be sent a prompt to read."""
-        for listener in self.reading_listeners:
+        for listener in self.prefill_listeners:
             listener()
 
-    def note_placement(self, state, parts, wait_s=0.0):
+    def record_prefix_placement(self, state, parts, wait_s=0.0):
         """Note that an engine keeps parts of a prompt, here and for the peers.
 
         Parameters
@@ -341,15 +353,15 @@
             state.prefixes.add_chain(chain)
         if shared:
             placement = [state.record.endpoint_id, shared, round(wait_s, 2)]
-            self._placements.append(placement)
+            self._unsent_placements.append(placement)
 
-    def take_placements(self, count):
+    def pop_placements(self, count):
         """Return what was noted and not told yet, the oldest first, up to a count."""
-        placements = self._placements[:count]
-        del self._placements[:count]
+        placements = self._unsent_placements[:count]
+        del self._unsent_placements[:count]
         return placements
 
-    async def next_tick(self, period_s):
+    async def wait_for_tick(self, period_s):
         """Wait until the next multiple of a period, in seconds.
 
         Made for hundreds of hosts that mostly wait. Each wake-up of a process costs as
@@ -361,20 +373,20 @@
     def spawn(self, coroutine):
         """Run something that no caller waits for; its failure is logged."""
         task = asyncio.ensure_future(coroutine)
-        self._background.add(task)
+        self._background_tasks.add(task)
         task.add_done_callback(self._on_background_done)
         return task
 
     async def close(self):
         """End what runs in the background."""
-        await self.overdue.close()
-        for task in list(self._background):
+        await self.stall_monitor.close()
+        for task in list(self._background_tasks):
             task.cancel()
-        await asyncio.gather(*self._background, return_exceptions=True)
-        self.pool.close()
+        await asyncio.gather(*self._background_tasks, return_exceptions=True)
+        self.connection_pool.close()
 
     def _on_background_done(self, task):
-        self._background.discard(task)
+        self._background_tasks.discard(task)
         if task.cancelled() or task.exception() is None:
             return
         level = "warning" if isinstance(task.exception(), DecodeError) else "error"
--- a/libs/entry/gypsumusher_entry/exchange.py
+++ b/libs/entry/gypsumusher_entry/exchange.py
@@ -21,19 +21,19 @@
 
 # When to come back to a host that has no configuration yet, in seconds: it lists the
 # store at once, or asks a peer some tenths of a second later.
-NO_CONFIGURATION_RETRY_S = 0.4
+NO_CONFIGURATION_RETRY_AFTER_S = 0.4
 # When to come back when no endpoint is known or well, in seconds: entries and crashed
 # endpoints are back within a few seconds.
-NO_ENDPOINT_RETRY_S = 1.0
+NO_ENDPOINT_RETRY_AFTER_S = 1.0
 # Part of its limit in which a request that comes back should begin, and the least
 # time until then, in seconds.
-OVERLOAD_PART = 0.5
-LEAST_RETRY_S = 0.3
+OVERLOAD_START_FRACTION = 0.5
+MIN_RETRY_AFTER_S = 0.3
 # Time left to a caller that is too short for any work, in seconds.
-LEAST_PATIENCE_S = 0.005
+MIN_ENDPOINT_TIME_S = 0.005
 # What the way back takes, in seconds: an endpoint must not work on for an answer that
 # would come too late.
-WAY_BACK_S = 0.01
+RESPONSE_OVERHEAD_S = 0.01
 
 
 class Exchange:
@@ -56,14 +56,14 @@
         self.arrived_s = context.clock()
         self.route = None
         self.service = None
-        self.ends_s = self.arrived_s
-        self.first_s = None
+        self.deadline_at_s = self.arrived_s
+        self.first_output_at_s = None
         self.possible_runs = 0
-        self.account = SendCounter()
-        self.events = 0
+        self.send_counter = SendCounter()
+        self.event_count = 0
         self.longest_pause_s = 0.0
-        self.ran_at = None
-        self.waits_at = None
+        self.run_endpoint_id = None
+        self.prefill_endpoint_id = None
         self.outcome = None
 
     @property
@@ -72,12 +72,12 @@
         return self.possible_runs > 0
 
     @property
-    def left_s(self):
+    def remaining_s(self):
         """Time until the caller or the operator expects an end, in seconds."""
-        return self.ends_s - self.context.clock()
+        return self.deadline_at_s - self.context.clock()
 
     @property
-    def objective_left_s(self):
+    def objective_remaining_s(self):
         """Time until the answer, or its first event, is late, in seconds."""
         return self.arrived_s + self.route.objective_s - self.context.clock()
 
@@ -87,27 +87,27 @@
         route = self.route
         waited_s = self.context.clock() - self.arrived_s
         abandoned_s = abandoned_after_s(route.objective_s, route.max_event_gap_s)
-        given_up_s = min(abandoned_s - waited_s, self.left_s)
+        until_abandoned_s = min(abandoned_s - waited_s, self.remaining_s)
         wanted_s = first_event_limit_s(
-            abandoned_s - waited_s, self.request.generation, self.left_s
+            abandoned_s - waited_s, self.request.generation, self.remaining_s
         )
-        return FirstEventLimits(wanted_s, given_up_s)
+        return FirstEventLimits(wanted_s, until_abandoned_s)
 
     @property
-    def wish(self):
+    def routing_request(self):
         """What is asked of the engines, and until when."""
         return RoutingRequest(
             self.request.generation,
             self.route.objective_s,
-            self.objective_left_s,
+            self.objective_remaining_s,
             self.first_event_limits,
-            self.expected_events or 1.0,
+            self.expected_event_count or 1.0,
         )
 
     @property
-    def event_tokens(self):
+    def tokens_per_event(self):
         """How many tokens of callers' estimates an event of this route stands for."""
-        return self.context.learnt(self.service).tokens_per_event(self.route.name)
+        return self.context.cost_model(self.service).tokens_per_event(self.route.name)
 
     @property
     def estimated_tokens(self):
@@ -116,14 +116,14 @@
         return generation.expected_output_tokens or generation.max_output_tokens
 
     @property
-    def expected_events(self):
+    def expected_event_count(self):
         """Events that the answer is expected to have; None when that isn't known."""
-        return self.event_tokens.expected_events(self.estimated_tokens)
+        return self.tokens_per_event.expected_events(self.estimated_tokens)
 
     @property
-    def patience_s(self):
+    def endpoint_time_limit_s(self):
         """Time for which an endpoint may work, in seconds."""
-        return max(LEAST_PATIENCE_S, self.left_s - WAY_BACK_S)
+        return max(MIN_ENDPOINT_TIME_S, self.remaining_s - RESPONSE_OVERHEAD_S)
 
     def reserve_send(self):
         """Take a retry for the next send, where it needs one that isn't held yet.
@@ -138,10 +138,10 @@
 
     def try_reserve_send(self):
         """As `reserve_send`; return whether the request may be sent."""
-        if not self.account.needs_retry():
+        if not self.send_counter.needs_retry():
             return True
         decision = self.context.take_retry(self.service)
-        self.account.retries += decision.is_allowed
+        self.send_counter.retries += decision.is_allowed
         self.log(
             "info",
             "retry_taken" if decision.is_allowed else "retry_withheld",
@@ -173,13 +173,13 @@
             self.reply.send(status, headers, body)
         self.outcome = f"{status}:{reason}"
 
-    def deliver(self, head, body):
+    def forward_response(self, head, body):
         """Pass an endpoint's whole answer on."""
-        self.first_s = self.context.clock()
+        self.first_output_at_s = self.context.clock()
         self.reply.send(head.status, head.headers, body)
         self.outcome = f"{head.status}:answered"
 
-    def give_up(self, failed_answer, error, retry_after_s):
+    def finish_unanswered(self, failed_response, error, retry_after_s):
         """Give the final answer when no send brought one to pass on.
 
         Parameters
@@ -191,8 +191,8 @@
         retry_after_s : float
             When to come back, in seconds.
         """
-        if failed_answer is not None and not self.reply.is_started:
-            self.deliver(*failed_answer)
+        if failed_response is not None and not self.reply.is_started:
+            self.forward_response(*failed_response)
             return
         reason = "no_endpoint" if error is None else error.reason
         self.refuse(503, reason, retry_after_s)
@@ -214,14 +214,14 @@
 
     async def handle(request, reply):
         exchange = Exchange(context, request, reply)
-        context.metrics.began()
+        context.metrics.on_request_start()
         try:
             await _serve(exchange)
         except asyncio.CancelledError:
             exchange.outcome = "caller_left"
             raise
         finally:
-            _note_end(exchange)
+            _record_end(exchange)
 
     return handle
 
@@ -230,45 +230,45 @@
     """Find the route, and serve within its time."""
     context, request = exchange.context, exchange.request
     if context.configuration is None:
-        exchange.refuse(503, "no_configuration", NO_CONFIGURATION_RETRY_S)
+        exchange.refuse(503, "no_configuration", NO_CONFIGURATION_RETRY_AFTER_S)
         return
     route = context.routes.find(request.host, request.target)
     if route is None:
         exchange.refuse(404, "no_route")
         return
     exchange.route = route
-    exchange.service = pick_service(route, context.draw)
-    patience_s = route.timeout_s
+    exchange.service = pick_service(route, context.draw_uniform)
+    time_limit_s = route.timeout_s
     if request.caller_timeout_s is not None:
-        patience_s = min(patience_s, request.caller_timeout_s)
-    exchange.ends_s = exchange.arrived_s + patience_s
+        time_limit_s = min(time_limit_s, request.caller_timeout_s)
+    exchange.deadline_at_s = exchange.arrived_s + time_limit_s
     serve = serve_stream if route.kind == STREAM else serve_from_service
     try:
-        async with asyncio.timeout(exchange.left_s):
+        async with asyncio.timeout(exchange.remaining_s):
             await serve(exchange)
     except TimeoutError:
         # The operator's time is up: the final answer goes out now, whatever an
         # endpoint still does.
         status = 504 if exchange.may_have_run else 503
-        exchange.refuse(status, "timeout", NO_ENDPOINT_RETRY_S)
+        exchange.refuse(status, "timeout", NO_ENDPOINT_RETRY_AFTER_S)
     except OverloadedError as error:
         exchange.log("info", "request_refused", reason="overloaded", detail=error)
         # By then the backlog has gone so far that it would begin within its limit.
-        wait_s = error.expected_s - OVERLOAD_PART * error.limit_s
-        exchange.refuse(503, "overloaded", max(LEAST_RETRY_S, wait_s))
+        wait_s = error.expected_s - OVERLOAD_START_FRACTION * error.limit_s
+        exchange.refuse(503, "overloaded", max(MIN_RETRY_AFTER_S, wait_s))
     except CallError as error:
-        exchange.refuse(503, error.reason, NO_ENDPOINT_RETRY_S)
+        exchange.refuse(503, error.reason, NO_ENDPOINT_RETRY_AFTER_S)
 
 
-def _note_end(exchange):
+def _record_end(exchange):
     """Log and count the end of a request."""
     context = exchange.context
     route = exchange.route
     now_s = context.clock()
     first_s = None
-    if exchange.first_s is not None:
-        first_s = exchange.first_s - exchange.arrived_s
-    context.metrics.ended(
+    if exchange.first_output_at_s is not None:
+        first_s = exchange.first_output_at_s - exchange.arrived_s
+    context.metrics.on_request_end(
         route.name if route is not None else "none",
         exchange.outcome,
         now_s - exchange.arrived_s,
@@ -282,24 +282,24 @@
         rank=route.priority if route is not None else None,
         service=exchange.service,
         version=context.configuration_version,
-        sends=exchange.account.arrivals,
-        repeats=exchange.account.repeats or None,
-        retries=exchange.account.retries or None,
-        endpoint=exchange.ran_at,
+        sends=exchange.send_counter.arrivals,
+        repeats=exchange.send_counter.repeats or None,
+        retries=exchange.send_counter.retries or None,
+        endpoint=exchange.run_endpoint_id,
         # Set only when the request ended while its prompt was still to be read.
-        waited_at=exchange.waits_at,
-        events=exchange.events or None,
+        waited_at=exchange.prefill_endpoint_id,
+        events=exchange.event_count or None,
         objective_ms=None if route is None else round(route.objective_s * 1000),
         pause_ms=round(exchange.longest_pause_s * 1000) or None,
         pause_limit_ms=_pause_limit_ms(exchange),
         first_ms=None if first_s is None else round(first_s * 1000),
         took_ms=round((now_s - exchange.arrived_s) * 1000),
-        left_ms=round((exchange.ends_s - now_s) * 1000),
+        left_ms=round((exchange.deadline_at_s - now_s) * 1000),
     )
 
 
 def _pause_limit_ms(exchange):
     """Return the pause that a stream with events may have; None for all others."""
-    if not exchange.events or exchange.route.max_event_gap_s is None:
+    if not exchange.event_count or exchange.route.max_event_gap_s is None:
         return None
     return round(exchange.route.max_event_gap_s * 1000)
--- a/libs/entry/gypsumusher_entry/gossip.py
+++ b/libs/entry/gypsumusher_entry/gossip.py
@@ -16,25 +16,25 @@
 
 # Version of the message; others are passed over, so that hosts of two releases can
 # serve side by side.
-FORMAT = 4
+MESSAGE_VERSION = 4
 # Least time between two messages while the load changes, in seconds. A prompt is read
 # in a tenth of a second or more, so older counts still tell. Four hosts served 0.02 to
 # 0.04 less of the worth at 0.2 s, 0.01 to 0.02 less at 0.1 s, and no more at 0.02 s.
-CHANGED_S = 0.05
+MIN_INTERVAL_S = 0.05
 # Least time between two messages when a prompt is sent to be read, in seconds. What a
 # host hears of it later than this it learns too late: several hosts send a prompt to
 # the engine that was idle, and all but one of them wait.
-URGENT_S = 0.01
+MIN_PREFILL_INTERVAL_S = 0.01
 # The same for hosts that callers aren't sent to, which have little to tell, in seconds.
-QUIET_S = 0.2
+INACTIVE_MIN_INTERVAL_S = 0.2
 # Time between two messages at rest among the active hosts, and from and to the others,
 # in seconds. Sixty hosts that told each other all of it twice a second would spend a
 # hundredth of a core and ten times the bytes that control may take.
-REST_S = 0.45
-FAR_S = 1.0
+ACTIVE_MAX_INTERVAL_S = 0.45
+MAX_INTERVAL_S = 1.0
 # What a peer says of an engine's stage holds for this long, in seconds: it is said
 # again with each message, and the engine's own entry tells soon after.
-STAGE_NEWS_KEPT_S = 2.0
+ORDERED_STAGE_TTL_S = 2.0
 MAX_DATAGRAM_BYTES = 60_000
 # Placements told in one message; more wait for the next.
 MAX_PLACEMENTS = 64
@@ -53,11 +53,11 @@
         self._context = context
         self._transport = None
         self._task = None
-        self._beat = 0
-        self._told = None
-        self._told_active_s = 0.0
-        self._told_all_s = 0.0
-        self._link_share = GossipRateLimiter(context.settings.link_mbps)
+        self._sequence = 0
+        self._last_state = None
+        self._sent_to_active_s = 0.0
+        self._sent_to_all_s = 0.0
+        self._rate_limiter = GossipRateLimiter(context.settings.link_mbps)
 
     async def start(self):
         """Open the socket and begin to tell."""
@@ -67,7 +67,7 @@
         await loop.create_datagram_endpoint(
             lambda: self, local_addr=address, family=socket.AF_INET
         )
-        self._context.reading_listeners.append(self.on_reading_begun)
+        self._context.prefill_listeners.append(self.on_prefill_start)
         self._task = self._context.spawn(self._run())
 
     async def close(self):
@@ -77,10 +77,10 @@
         if self._transport is not None:
             self._transport.close()
 
-    def tell_now(self):
+    def send_now(self):
         """Tell all hosts at once, as before a planned stop."""
         now_s = self._context.clock()
-        self._tell(now_s, self._state(now_s), is_for_all=True)
+        self._broadcast(now_s, self._state(now_s), is_for_all=True)
 
     # Called by the transport
 
@@ -95,7 +95,7 @@
         except (ValueError, TypeError, KeyError, msgpack.UnpackException) as error:
             self._context.log("warning", "gossip_unreadable", error=repr(error))
             return
-        self._take(message)
+        self._apply(message)
 
     def error_received(self, error):
         """Pass over a refused datagram."""
@@ -105,32 +105,37 @@
     async def _run(self):
         while True:
             context = self._context
-            await context.next_tick(CHANGED_S if context.is_active() else QUIET_S)
+            await context.wait_for_tick(
+                MIN_INTERVAL_S if context.is_active() else INACTIVE_MIN_INTERVAL_S
+            )
             now_s = context.clock()
             state = self._state(now_s)
-            if now_s - self._told_all_s >= FAR_S or self._is_news(state):
-                self._tell(now_s, state, is_for_all=True)
-            elif now_s - self._told_active_s >= REST_S:
-                self._tell(now_s, state, is_for_all=False)
-            elif state != self._told and self._link_share.may_send(now_s):
-                self._tell(now_s, state, is_for_all=False)
-
-    def _told_lease(self):
+            if now_s - self._sent_to_all_s >= MAX_INTERVAL_S or self._is_urgent(state):
+                self._broadcast(now_s, state, is_for_all=True)
+            elif now_s - self._sent_to_active_s >= ACTIVE_MAX_INTERVAL_S:
+                self._broadcast(now_s, state, is_for_all=False)
+            elif state != self._last_state and self._rate_limiter.may_send(now_s):
+                self._broadcast(now_s, state, is_for_all=False)
+
+    def _lease_state(self):
         """Return what this host knows of the lease for orders; None for nothing."""
         lease = self._context.stage_lease
-        return None if lease is None else lease.told()
+        return None if lease is None else lease.known_state()
 
-    def on_reading_begun(self):
+    def on_prefill_start(self):
         """Tell the other active hosts at once what an engine has to read."""
         now_s = self._context.clock()
-        if now_s - self._told_active_s < URGENT_S or not self._context.is_active():
+        if (
+            now_s - self._sent_to_active_s < MIN_PREFILL_INTERVAL_S
+            or not self._context.is_active()
+        ):
             return
-        if self._link_share.may_send(now_s):
-            self._tell(now_s, self._state(now_s), is_for_all=False)
+        if self._rate_limiter.may_send(now_s):
+            self._broadcast(now_s, self._state(now_s), is_for_all=False)
 
-    def _is_news(self, state):
+    def _is_urgent(self, state):
         """Say whether there is what all hosts have to hear at once."""
-        return self._told is None or state[:-2] != self._told[:-2]
+        return self._last_state is None or state[:-2] != self._last_state[:-2]
 
     def _state(self, now_s):
         """Return what this host has to say now, but for the placements."""
@@ -152,40 +157,42 @@
             loads,
         )
 
-    def _tell(self, now_s, state, is_for_all):
+    def _broadcast(self, now_s, state, is_for_all):
         """Tell the active hosts, and from time to time the others."""
         context = self._context
         active, others = self._targets()
-        self._told = state
-        self._told_active_s = now_s
-        self._beat += 1
+        self._last_state = state
+        self._sent_to_active_s = now_s
+        self._sequence += 1
         is_active = context.is_active()
-        period_s = REST_S if is_active else FAR_S
+        period_s = ACTIVE_MAX_INTERVAL_S if is_active else MAX_INTERVAL_S
         if is_active or is_for_all:
-            placements = context.take_placements(MAX_PLACEMENTS)
-            lease = self._told_lease() if is_for_all else None
+            placements = context.pop_placements(MAX_PLACEMENTS)
+            lease = self._lease_state() if is_for_all else None
             self._send(active, period_s, state, (placements, lease))
         if is_for_all:
-            self._told_all_s = now_s
+            self._sent_to_all_s = now_s
             # What the engines have under way is of use to the active hosts only.
-            quiet = (*state[:-1], {})
-            self._send(others if is_active else (), FAR_S, quiet, ([], None))
+            without_loads = (*state[:-1], {})
+            self._send(
+                others if is_active else (), MAX_INTERVAL_S, without_loads, ([], None)
+            )
 
-    def _send(self, ips, period_s, state, rest):
+    def _send(self, ips, period_s, state, other_fields):
         """Send one message to some hosts."""
         if not ips:
             return
         context = self._context
-        news = context.own_news(self._beat, period_s)
+        status = context.own_status(self._sequence, period_s)
         *_, stages, _, loads = state
-        fields = [FORMAT, list(news), stages, loads, *rest]
+        fields = [MESSAGE_VERSION, list(status), stages, loads, *other_fields]
         data = msgpack.packb(fields)
         if len(data) > MAX_DATAGRAM_BYTES:
             context.log("error", "gossip_too_large", bytes=len(data))
             return
         for ip in ips:
             self._transport.sendto(data, (ip, context.settings.datagram_port))
-        self._link_share.on_sent(context.clock(), len(ips) * len(data))
+        self._rate_limiter.on_sent(context.clock(), len(ips) * len(data))
 
     def _targets(self):
         """Return the IPs of the active hosts, and of the others."""
@@ -196,26 +203,26 @@
             # Nobody is known yet: the store may be away. The seeds may live.
             known = {seed.rpartition(":")[0] for seed in context.settings.seeds}
         known.discard(own_ip)
-        active = {news.ip for news in context.active_hosts()} & known
+        active = {status.ip for status in context.active_hosts()} & known
         if not active:
             return known, set()
         return active, known - active
 
-    def _take(self, message):
+    def _apply(self, message):
         """Take in a peer's message."""
         context = self._context
         now_s = context.clock()
-        peer = message.news.name
-        if not context.hosts.on_status(now_s, message.news):
+        peer = message.status.name
+        if not context.hosts.on_status(now_s, message.status):
             return
         if message.lease is not None and context.stage_lease is not None:
-            context.stage_lease.on_told(message.lease)
+            context.stage_lease.on_peer_state(message.lease)
         context.endpoints.on_peer_loads(now_s, peer, message.loads)
         for endpoint_id, started_ms, stage, is_switching in message.stages:
             state = context.endpoints.states.get(endpoint_id)
             if state is not None and state.record.started_ms == started_ms:
-                told = OrderedStage(stage, is_switching)
-                state.on_stage_ordered(now_s, told, STAGE_NEWS_KEPT_S)
+                ordered = OrderedStage(stage, is_switching)
+                state.on_stage_ordered(now_s, ordered, ORDERED_STAGE_TTL_S)
         for endpoint_id, chain, wait_s in message.placements:
             state = context.endpoints.states.get(endpoint_id)
             if state is None:
@@ -244,7 +251,7 @@
         What it knows of the lease for orders, from time to time.
     """
 
-    news: HostStatus
+    status: HostStatus
     stages: list
     loads: dict
     placements: list
@@ -254,15 +261,15 @@
 def _decode(data):
     """Return the parts of a message."""
     version, *fields = msgpack.unpackb(data)
-    if version != FORMAT:
+    if version != MESSAGE_VERSION:
         raise ValueError(f"format {version}")
-    news, stages, loads, placements, lease = fields
+    status, stages, loads, placements, lease = fields
     decoded = {}
-    for endpoint_id, (running, readings, lane_ms, penalty) in loads.items():
+    for endpoint_id, (running, prefills, lane_ms, penalty) in loads.items():
         if len(lane_ms) != len(LANES):
             raise ValueError(f"{len(lane_ms)} lanes")
         lane_s = tuple(work_ms / 1000.0 for work_ms in lane_ms)
-        load = Load(running, readings, lane_s)
+        load = Load(running, prefills, lane_s)
         decoded[endpoint_id] = (load, penalty)
-    news = HostStatus(*news)
-    return _Message(news, stages, decoded, placements, lease)
+    status = HostStatus(*status)
+    return _Message(status, stages, decoded, placements, lease)
--- a/libs/entry/gypsumusher_entry/host.py
+++ b/libs/entry/gypsumusher_entry/host.py
@@ -23,13 +23,13 @@
 STORE_TIMEOUT_S = 1.0
 # Callers keep the list of hosts for its time, some for three times as long. A stopping
 # host goes on taking requests until then.
-DIRECTORY_KEPT_FACTOR = 3.0
+DIRECTORY_TTL_FACTOR = 3.0
 # Left of the time to stop when the last answers are broken off, in seconds.
 STOP_RESERVE_S = 0.6
 # A starting host takes callers when it knows its configuration, or after this long, in
 # seconds: a refused connection sends a caller on at once, while a refusal costs it one
 # of its few tries; but with the store away everywhere, somebody has to answer.
-START_PATIENCE_S = 3.0
+CONFIGURATION_WAIT_S = 3.0
 POLL_S = 0.02
 
 
@@ -60,8 +60,8 @@
         self._gossip = Gossip(self.context)
         self._prefix_cache_recovery = PrefixCacheRecovery(self.context)
         codecs = decode_request, encode_refusal
-        web_handler = create_api_handler(self.context)
-        self._api = Listener(web_handler, *codecs, clock, log)
+        api_handler = create_api_handler(self.context)
+        self._api = Listener(api_handler, *codecs, clock, log)
         self._listener = Listener(create_handler(self.context), *codecs, clock, log)
 
     async def start(self):
@@ -77,18 +77,18 @@
         context.configuration_listeners.append(
             lambda configuration: self._listener.set_limits(configuration.limits)
         )
-        await self.context.overdue.start()
-        await self.context.lags.start()
+        await self.context.stall_monitor.start()
+        await self.context.staleness.start()
         await self._gossip.start()
         await self._store_watcher.start()
         await self._registration.start()
         await self._peer_sync.start()
         # Peers and callers that ask for hosts are answered meanwhile; the callers'
         # listener opens once there is a configuration.
-        bound = await self._start_web()
-        await self._wait_for_configuration(START_PATIENCE_S)
+        bound = await self._start_api()
+        await self._wait_for_configuration(CONFIGURATION_WAIT_S)
         callers = await _listen(self._listener, settings.callers_address)
-        self._gossip.tell_now()
+        self._gossip.send_now()
         await self._prefix_cache_recovery.start()
         await self._start_stage_orders()
         return {"callers": callers, **bound}
@@ -105,7 +105,7 @@
         await lease.start()
         await StageOrders(self.context, lease).start()
 
-    async def _start_web(self):
+    async def _start_api(self):
         """Start the other listeners; return their addresses by name."""
         settings = self.context.settings
         addresses = {
@@ -128,14 +128,14 @@
         settings : HostSettings
             Settings as read anew.
         """
-        known = self.context.settings
-        self.context.settings = known._replace(
+        previous = self.context.settings
+        self.context.settings = previous._replace(
             bounds=settings.bounds, seeds=settings.seeds
         )
         changed = [
             name
-            for name in known._fields
-            if getattr(known, name) != getattr(settings, name)
+            for name in previous._fields
+            if getattr(previous, name) != getattr(settings, name)
         ]
         self.log("info", "settings_reloaded", changed=",".join(changed) or None)
 
@@ -151,17 +151,17 @@
         context = self.context
         bounds = context.settings.bounds
         began_s = context.clock()
-        ends_s = began_s + bounds.stop_s - STOP_RESERVE_S
-        context.is_leaving = True
+        deadline_at_s = began_s + bounds.stop_s - STOP_RESERVE_S
+        context.is_draining = True
         self._listener.is_draining = True
-        self._gossip.tell_now()
+        self._gossip.send_now()
         self.log("info", "stop_began", busy=self._listener.count_active())
-        kept_s = DIRECTORY_KEPT_FACTOR * context.directory_ttl_s()
-        await asyncio.sleep(min(kept_s, bounds.stop_s / 2.0))
+        lists_expire_s = DIRECTORY_TTL_FACTOR * context.directory_ttl_s()
+        await asyncio.sleep(min(lists_expire_s, bounds.stop_s / 2.0))
         self._listener.stop_accepting()
-        while self._listener.count_active() and context.clock() < ends_s:
+        while self._listener.count_active() and context.clock() < deadline_at_s:
             await asyncio.sleep(POLL_S)
-            self._gossip.tell_now()
+            self._gossip.send_now()
         self.log(
             "info",
             "stop_done",
@@ -179,10 +179,10 @@
         await self.context.close()
         await self._store.close()
 
-    async def _wait_for_configuration(self, patience_s):
+    async def _wait_for_configuration(self, timeout_s):
         """Wait until this host knows what to do with a request; say whether it does."""
         context = self.context
-        until_s = context.clock() + patience_s
+        until_s = context.clock() + timeout_s
         while context.clock() < until_s:
             if context.configuration is not None and context.endpoints.states:
                 return True
@@ -192,7 +192,7 @@
             "configuration_missing",
             version=context.configuration_version,
             endpoints=len(context.endpoints.states),
-            waited_s=patience_s,
+            waited_s=timeout_s,
         )
         return False
 
--- a/libs/entry/gypsumusher_entry/host_api.py
+++ b/libs/entry/gypsumusher_entry/host_api.py
@@ -32,22 +32,22 @@
         return status, [_JSON], _encode_json({"ready": context.is_ready})
 
     def answer_hosts(_):
-        addresses = [news.callers_address for news in context.active_hosts()]
+        addresses = [host.callers_address for host in context.active_hosts()]
         if not addresses:
             addresses = [context.settings.callers_address]
-        addresses.sort(key=lambda _: context.draw())
+        addresses.sort(key=lambda _: context.draw_uniform())
         hosts = encode_host_list(addresses, context.directory_ttl_s())
         return 200, [_JSON], _encode_json(hosts)
 
-    def answer_beliefs(query):
+    def answer_sync(query):
         from urllib.parse import parse_qs
 
         known = parse_qs(query)
-        version = _known_number(known, "version")
-        revision = _known_number(known, "revision")
-        takes_changes = "changes" in known
-        beliefs = _beliefs_beyond(context, version, revision, takes_changes)
-        body = encoder.encode(beliefs)
+        version = _parse_number(known, "version")
+        revision = _parse_number(known, "revision")
+        accepts_changes = "changes" in known
+        response = _state_newer_than(context, version, revision, accepts_changes)
+        body = encoder.encode(response)
         return 200, [_MSGPACK], body
 
     def answer_metrics(_):
@@ -57,7 +57,7 @@
     answers = {
         READY_PATH: answer_ready,
         RESOLVE_PATH: answer_hosts,
-        PEER_SYNC_PATH: answer_beliefs,
+        PEER_SYNC_PATH: answer_sync,
         "/metrics": answer_metrics,
     }
 
@@ -79,28 +79,28 @@
     return json.dumps(value).encode()
 
 
-def _known_number(known, name):
+def _parse_number(known, name):
     """Return a number that the asking host gives, -1 when it gives none."""
     text = known.get(name, [""])[0]
     return int(text) if text.isascii() and text.isdigit() else -1
 
 
-def _beliefs_beyond(context, version, revision, takes_changes):
+def _state_newer_than(context, version, revision, accepts_changes):
     """Return what a host lacks that knows a version and a revision.
 
     A list that is not whole is told again whatever the revision: what it lacks comes
     without a new one.
     """
     endpoints = context.endpoints
-    is_whole = not endpoints.is_in_grace_period(context.clock())
-    stored = context.configuration_source
+    is_complete = not endpoints.is_in_grace_period(context.clock())
+    stored = context.stored_configuration
     if context.configuration_version <= version:
         stored = None
     records = removed = None
-    if endpoints.revision > revision or not is_whole:
-        changes = endpoints.changes_since(revision) if is_whole else None
-        if changes is not None and takes_changes:
+    if endpoints.revision > revision or not is_complete:
+        changes = endpoints.changes_since(revision) if is_complete else None
+        if changes is not None and accepts_changes:
             records, removed = map(tuple, changes)
         else:
             records = tuple(endpoints.listed_records())
-    return SyncResponse(stored, records, endpoints.revision, is_whole, removed)
+    return SyncResponse(stored, records, endpoints.revision, is_complete, removed)
--- a/libs/entry/gypsumusher_entry/metrics.py
+++ b/libs/entry/gypsumusher_entry/metrics.py
@@ -5,17 +5,17 @@
 __all__ = ["Metrics"]
 
 # From the network's own time to the longest deadline, in seconds.
-BUCKETS_S = [0.01, 0.03, 0.06, 0.125, 0.25, 0.5, 0.8, 1.5, 3.0, 6.0, 10.0]
+HISTOGRAM_BUCKETS_S = [0.01, 0.03, 0.06, 0.125, 0.25, 0.5, 0.8, 1.5, 3.0, 6.0, 10.0]
 
 
 class _Collectors(NamedTuple):
     """The collectors of the metrics library."""
 
     registry: Any
-    ended: Any
+    requests: Any
     running: Any
-    whole: Any
-    first: Any
+    total_time: Any
+    first_output_time: Any
     stage_orders: Any
     version: Any
     lag: Any
@@ -30,15 +30,15 @@
 
     def __init__(self):
         self._collectors = None
-        self._count = 0
-        self._known_version = 0
+        self._running_count = 0
+        self._configuration_version = 0
         self._lags_s = {}
 
-    def began(self):
+    def on_request_start(self):
         """Count a request in."""
-        self._count += 1
+        self._running_count += 1
 
-    def ended(self, route, outcome, took_s, first_s):
+    def on_request_end(self, route, outcome, took_s, first_s):
         """Count a request out.
 
         Parameters
@@ -52,14 +52,14 @@
         first_s : float or None
             From arrival to the first of the answer, in seconds.
         """
-        self._count -= 1
+        self._running_count -= 1
         collectors = self._load()
-        collectors.ended.inc({"route": route, "outcome": outcome or "none"})
-        collectors.whole.observe({"route": route}, took_s)
+        collectors.requests.inc({"route": route, "outcome": outcome or "none"})
+        collectors.total_time.observe({"route": route}, took_s)
         if first_s is not None:
-            collectors.first.observe({"route": route}, first_s)
+            collectors.first_output_time.observe({"route": route}, first_s)
 
-    def stage_ordered(self, stage, outcome):
+    def on_stage_order_end(self, stage, outcome):
         """Count an order to an engine that has ended.
 
         Parameters
@@ -72,11 +72,11 @@
         labels = {"stage": stage, "outcome": outcome or "left"}
         self._load().stage_orders.inc(labels)
 
-    def configured(self, version):
+    def set_configuration_version(self, version):
         """Note the version of the configuration in force."""
-        self._known_version = version
+        self._configuration_version = version
 
-    def lagged(self, kind, lag_s):
+    def set_lag(self, kind, lag_s):
         """Note for how long peers have known more of a kind of news, in seconds."""
         self._lags_s[kind] = lag_s
 
@@ -85,8 +85,8 @@
         from aioprometheus.renderer import render
 
         collectors = self._load()
-        collectors.running.set({}, self._count)
-        collectors.version.set({}, self._known_version)
+        collectors.running.set({}, self._running_count)
+        collectors.version.set({}, self._configuration_version)
         for kind, lag_s in self._lags_s.items():
             collectors.lag.set({"kind": kind}, lag_s)
         return render(collectors.registry, [])
@@ -104,7 +104,7 @@
     registry = Registry()
     return _Collectors(
         registry=registry,
-        ended=Counter(
+        requests=Counter(
             "gypsumusher_requests_total",
             "Requests of callers by route and outcome",
             registry=registry,
@@ -114,16 +114,16 @@
             "Requests that are being served",
             registry=registry,
         ),
-        whole=Histogram(
+        total_time=Histogram(
             "gypsumusher_answer_s",
             "Arrival to the end of the answer",
-            buckets=BUCKETS_S,
+            buckets=HISTOGRAM_BUCKETS_S,
             registry=registry,
         ),
-        first=Histogram(
+        first_output_time=Histogram(
             "gypsumusher_first_s",
             "Arrival to the answer, of a stream to its first event",
-            buckets=BUCKETS_S,
+            buckets=HISTOGRAM_BUCKETS_S,
             registry=registry,
         ),
         stage_orders=Counter(
--- a/libs/entry/gypsumusher_entry/peer_sync.py
+++ b/libs/entry/gypsumusher_entry/peer_sync.py
@@ -21,27 +21,29 @@
 # Where one host tells another what it believes.
 PEER_SYNC_PATH = "/v1/beliefs"
 # How often a host without the store looks whether a peer knows more, in seconds.
-ASK_S = 0.1
+CHECK_INTERVAL_S = 0.1
 # Least time between two questions to peers, in seconds.
-PAUSE_S = 0.2
+SYNC_PAUSE_S = 0.2
 # The same while the peer waits for entries that may come back, in seconds: each answer
 # holds all endpoints again, and what it lacks isn't told until the wait is over.
-PARTIAL_PAUSE_S = 0.5
+INCOMPLETE_PAUSE_S = 0.5
 # The same after a configuration that this host can't read, in seconds: each answer
 # holds it again, and the endpoints beside it still have to come within the bounds.
-UNREADABLE_PAUSE_S = 1.0
+UNDECODABLE_PAUSE_S = 1.0
 # Longest wait for a peer's answer to begin, and for its next bytes, in seconds: a peer
 # that is silent for longer has stalled, and another one is asked within the operator's
 # bound of 2 s.
-SILENCE_S = 0.8
+SILENCE_TIMEOUT_S = 0.8
 # Longest time for the whole of it, in seconds. While an answer keeps coming nothing is
 # won by beginning another one over the same link; see `StalenessMonitor` for
 # what is done besides once it is overdue.
-WHOLE_S = 4.0
-ANSWER_LIMITS = CallLimits(SILENCE_S, SILENCE_S, WHOLE_S, SYNC_RESPONSE_MAX_BYTES)
+TOTAL_TIMEOUT_S = 4.0
+RESPONSE_LIMITS = CallLimits(
+    SILENCE_TIMEOUT_S, SILENCE_TIMEOUT_S, TOTAL_TIMEOUT_S, SYNC_RESPONSE_MAX_BYTES
+)
 # A peer that gave no answer isn't asked again for so long, in seconds, while another
 # one knows as much.
-FAILED_PAUSE_S = 2.0
+FAILED_PEER_PAUSE_S = 2.0
 
 
 class PeerSync:
@@ -72,39 +74,41 @@
     async def _run(self):
         context = self._context
         while True:
-            await context.next_tick(ASK_S)
+            await context.wait_for_tick(CHECK_INTERVAL_S)
             # A host that watches the store may be told late: its link is full, or the
             # watch has gone silent. Then what peers know counts for it too.
-            if context.sees_store and not context.lags.is_overdue(CONFIGURATION):
+            if context.sees_store and not context.staleness.is_overdue(CONFIGURATION):
                 continue
-            ahead = context.hosts.hosts_ahead(
+            newer_peers = context.hosts.hosts_ahead(
                 context.clock(),
                 context.configuration_version,
                 context.endpoints.revision,
             )
-            if not ahead:
+            if not newer_peers:
                 continue
-            peer = self._choose(ahead)
-            pause_s = await self._ask(peer)
+            peer = self._choose(newer_peers)
+            pause_s = await self._sync_from(peer)
             await asyncio.sleep(pause_s)
 
-    def _choose(self, ahead):
+    def _choose(self, newer_peers):
         """Return which of the peers that know more is asked next.
 
         Failure guarded against: a peer that stalls, or whose answers can't be read,
         knows more for ever, and a host that keeps asking it never hears the news.
         """
         context = self._context
-        since_s = context.clock() - FAILED_PAUSE_S
+        since_s = context.clock() - FAILED_PEER_PAUSE_S
         answering = [
-            news for news in ahead if self._failed_s.get(news.name, since_s) <= since_s
+            peer
+            for peer in newer_peers
+            if self._failed_s.get(peer.name, since_s) <= since_s
         ]
-        candidates = answering or ahead
+        candidates = answering or newer_peers
         # A peer that doesn't see the store has its beliefs from another one.
-        seeing = [news for news in candidates if news.sees_store] or candidates
-        return seeing[int(context.draw() * len(seeing))]
+        with_store = [peer for peer in candidates if peer.sees_store] or candidates
+        return with_store[int(context.draw_uniform() * len(with_store))]
 
-    async def _ask(self, peer):
+    async def _sync_from(self, peer):
         """Take over what one peer believes; return the pause until the next question.
 
         Failure guarded against: the store returns without the entries that lapsed
@@ -114,7 +118,7 @@
         context = self._context
         began_s = context.clock()
         try:
-            beliefs = await self._fetch(peer)
+            response = await self._fetch(peer)
         except (CallError, DecodeError, TimeoutError) as error:
             context.log(
                 "warning",
@@ -129,11 +133,11 @@
             # Another peer is asked at once: the bounds count from the change.
             return 0.0
         self._failed_s.pop(peer.name, None)
-        self._take(peer, beliefs)
-        if beliefs.configuration is not None:
+        self._apply(peer, response)
+        if response.configuration is not None:
             if context.configuration_version < peer.configuration_version:
-                return UNREADABLE_PAUSE_S
-        return PAUSE_S if beliefs.is_whole else PARTIAL_PAUSE_S
+                return UNDECODABLE_PAUSE_S
+        return SYNC_PAUSE_S if response.is_complete else INCOMPLETE_PAUSE_S
 
     async def _fetch(self, peer):
         """Return the beliefs of one peer that this host lacks."""
@@ -145,35 +149,35 @@
             "changes": "1",
         }
         _, data = await self._client.call(
-            "GET", peer.peers_address, PEER_SYNC_PATH, ANSWER_LIMITS, known
+            "GET", peer.peers_address, PEER_SYNC_PATH, RESPONSE_LIMITS, known
         )
         return decode_sync_response(peer.name, data)
 
-    def _take(self, peer, beliefs):
+    def _apply(self, peer, response):
         """Take over what a peer told."""
         context = self._context
-        if beliefs.configuration is not None:
-            apply_stored_configuration(context, beliefs.configuration, peer.name)
-        if beliefs.endpoints is None:
+        if response.configuration is not None:
+            apply_stored_configuration(context, response.configuration, peer.name)
+        if response.endpoints is None:
             return
-        endpoints, revision = context.endpoints, beliefs.revision
-        if beliefs.removed is not None:
+        endpoints, revision = context.endpoints, response.revision
+        if response.removed is not None:
             changed = endpoints.on_changes(
-                context.clock(), beliefs.endpoints, beliefs.removed, revision
+                context.clock(), response.endpoints, response.removed, revision
             )
-        elif beliefs.is_whole:
+        elif response.is_complete:
             changed = endpoints.on_full_list(
-                context.clock(), beliefs.endpoints, revision
+                context.clock(), response.endpoints, revision
             )
         else:
-            changed = endpoints.on_partial_list(beliefs.endpoints, revision)
+            changed = endpoints.on_partial_list(response.endpoints, revision)
         if changed:
             context.log(
                 "info",
                 "endpoints_from_peer",
                 peer=peer.name,
                 revision=revision,
-                is_whole=beliefs.is_whole,
-                told=len(beliefs.endpoints) + len(beliefs.removed or ()),
+                is_whole=response.is_complete,
+                told=len(response.endpoints) + len(response.removed or ()),
                 changed=",".join(changed),
             )
--- a/libs/entry/gypsumusher_entry/prefill.py
+++ b/libs/entry/gypsumusher_entry/prefill.py
@@ -22,9 +22,9 @@
 
 # Engines that are asked to read one prompt; after that the engine that makes the tokens
 # reads it itself.
-MAX_READERS = 2
+MAX_PREFILL_ENGINES = 2
 # Time for a call that frees a handle, in seconds; it lapses by itself soon after.
-FREE_TIMEOUT_S = 1.0
+FREE_HANDLE_TIMEOUT_S = 1.0
 
 
 class PrefilledPrompt:
@@ -38,9 +38,9 @@
         What it said.
     """
 
-    def __init__(self, state, answer):
+    def __init__(self, state, response):
         self.state = state
-        self.handle = answer.handle
+        self.handle = response.handle
 
     @property
     def source(self):
@@ -52,7 +52,7 @@
         record = self.state.record
         call = encode_handle_release(record.address, self.handle)
         try:
-            await call_engine(context, record, call, FREE_TIMEOUT_S)
+            await call_engine(context, record, call, FREE_HANDLE_TIMEOUT_S)
         except (CallError, TimeoutError) as error:
             # It lapses by itself; until then it takes memory from others.
             context.log(
@@ -86,55 +86,57 @@
         When no engine would begin before the caller gives up.
     """
     context = exchange.context
-    tried = set()
-    for _ in range(MAX_READERS):
+    tried_ids = set()
+    for _ in range(MAX_PREFILL_ENGINES):
         states = context.endpoints.of_service(exchange.service)
-        states = [s for s in states if s.record.endpoint_id not in tried]
-        fleet = context.fleet(exchange.service, limits, states)
-        reading = choose_prefill(context.clock(), fleet, exchange.wish, context.draw)
-        if reading is None:
+        states = [s for s in states if s.record.endpoint_id not in tried_ids]
+        engine_pool = context.engine_pool(exchange.service, limits, states)
+        prefill = choose_prefill(
+            context.clock(), engine_pool, exchange.routing_request, context.draw_uniform
+        )
+        if prefill is None:
             return None
-        if reading.lane == HOPELESS:
+        if prefill.lane == HOPELESS:
             raise OverloadedError(
-                reading.expected_s, exchange.first_event_limits.abandoned_s
+                prefill.expected_s, exchange.first_event_limits.abandoned_s
             )
-        if not reading.is_disaggregated:
+        if not prefill.is_disaggregated:
             return None
         exchange.reserve_send()
-        tried.add(reading.state.record.endpoint_id)
-        exchange.waits_at = reading.state.record.endpoint_id
-        prompt = await _read_at(exchange, reading)
-        exchange.waits_at = None
+        tried_ids.add(prefill.state.record.endpoint_id)
+        exchange.prefill_endpoint_id = prefill.state.record.endpoint_id
+        prompt = await _prefill_at(exchange, prefill)
+        exchange.prefill_endpoint_id = None
         if prompt is not None:
             return prompt
     return None
 
 
-async def _read_at(exchange, reading):
+async def _prefill_at(exchange, prefill):
     """Have one engine read the prompt; None when it doesn't."""
-    context, state = exchange.context, reading.state
+    context, state = exchange.context, prefill.state
     send = SendOptions(
         state.record.endpoint_id,
-        exchange.patience_s,
-        urgency=urgency_of(exchange.route.priority, reading.lane),
+        exchange.endpoint_time_limit_s,
+        urgency=urgency_of(exchange.route.priority, prefill.lane),
         is_prefill=True,
-        kv_fetch=reading.fetch_address,
+        kv_fetch=prefill.fetch_address,
     )
     began_s = context.clock()
     state.own_running += 1
-    state.begin_prefill(reading.cost_s, reading.lane)
+    state.begin_prefill(prefill.cost_s, prefill.lane)
     parts = exchange.request.generation.parts
-    context.note_placement(state, parts, wait_s=reading.expected_s)
-    context.note_reading_begun()
-    learnt = context.learnt(exchange.service)
-    limit_s = learnt.prefill_timeout_s(state.stage, reading.expected_s)
+    context.record_prefix_placement(state, parts, wait_s=prefill.expected_s)
+    context.notify_prefill_start()
+    cost_model = context.cost_model(exchange.service)
+    limit_s = cost_model.prefill_timeout_s(state.stage, prefill.expected_s)
     longest_s = exchange.first_event_limits.abandoned_s
-    if reading.lane != TIMELY:
+    if prefill.lane != TIMELY:
         # Asked for elsewhere it would stand last again.
         limit_s = longest_s
     try:
         async with silence_timeout(exchange, limit_s, longest_s):
-            answer = await _ask(exchange, state, send)
+            response = await _request_prefill(exchange, state, send)
     except TimeoutError:
         reason = "behind" if state.has_answered_since(began_s) else "silent"
         error = CallError("prefill", state.record.address, reason, False)
@@ -145,55 +147,57 @@
         return None
     finally:
         state.own_running -= 1
-        state.end_prefill(reading.cost_s, reading.lane)
-    exchange.account.on_prompt_accepted()
+        state.end_prefill(prefill.cost_s, prefill.lane)
+    exchange.send_counter.on_prompt_accepted()
     took_s = context.clock() - began_s
     state.on_answer_bytes(context.clock())
-    record_prefill(exchange, reading, took_s)
+    record_prefill(exchange, prefill, took_s)
     state.health.on_success(context.clock())
-    context.note_placement(state, parts)
+    context.record_prefix_placement(state, parts)
     exchange.log(
         "info",
         "prompt_read",
         endpoint=state.record.endpoint_id,
         tokens=exchange.request.generation.prompt_tokens,
-        kept=reading.cached_tokens,
-        fetched_from=reading.fetch_address,
-        lane=reading.lane,
-        queue_ms=round(reading.queue_s * 1000),
-        expected_ms=round(reading.expected_s * 1000),
+        kept=prefill.cached_tokens,
+        fetched_from=prefill.fetch_address,
+        lane=prefill.lane,
+        queue_ms=round(prefill.queue_s * 1000),
+        expected_ms=round(prefill.expected_s * 1000),
         took_ms=round(took_s * 1000),
-        cost_ms=round(reading.cost_s * 1000),
+        cost_ms=round(prefill.cost_s * 1000),
         pace=round(state.slowdown.factor(context.clock()), 2),
-        margin=round(learnt.margin(state.stage), 2),
+        margin=round(cost_model.margin(state.stage), 2),
     )
-    return PrefilledPrompt(state, answer)
+    return PrefilledPrompt(state, response)
 
 
-def record_prefill(exchange, reading, took_s):
+def record_prefill(exchange, prefill, took_s):
     """Take in what a reading took, in seconds."""
-    context, state = exchange.context, reading.state
-    seen = PrefillObservation(
-        "prefill" if reading.is_disaggregated else "decode",
-        reading.lane,
-        reading.new_tokens,
-        reading.cached_tokens,
-        reading.fetch_s,
-        reading.cost_s,
-        reading.queue_s,
+    context, state = exchange.context, prefill.state
+    observation = PrefillObservation(
+        "prefill" if prefill.is_disaggregated else "decode",
+        prefill.lane,
+        prefill.new_tokens,
+        prefill.cached_tokens,
+        prefill.fetch_s,
+        prefill.cost_s,
+        prefill.queue_s,
         took_s,
     )
-    context.learnt(exchange.service).on_prefill(context.clock(), state.slowdown, seen)
+    context.cost_model(exchange.service).on_prefill(
+        context.clock(), state.slowdown, observation
+    )
 
 
-async def _ask(exchange, state, send):
+async def _request_prefill(exchange, state, send):
     """Send the prompt to one engine; return what it says of it."""
-    answer = await start_send(exchange, state, send)
+    response = await start_send(exchange, state, send)
     try:
-        head = await answer.head()
-        body = await answer.body()
+        head = await response.head()
+        body = await response.body()
     finally:
-        answer.close()
+        response.close()
     peer = state.record.address
     if head.is_wrong_endpoint:
         exchange.context.endpoints.on_wrong_endpoint(state.record.endpoint_id)
--- a/libs/entry/gypsumusher_entry/prefix_cache_recovery.py
+++ b/libs/entry/gypsumusher_entry/prefix_cache_recovery.py
@@ -16,10 +16,10 @@
 
 # Engines that are on record this long after the start are asked, in seconds; one that
 # comes later is new itself and keeps nothing.
-ASKED_FOR_S = 3.0
+ASK_PERIOD_S = 3.0
 # Hosts that start together have heard of each other by then, in seconds, and know to
 # which few of them callers are sent.
-HEARD_AFTER_S = 0.7
+PEERS_KNOWN_AFTER_S = 0.7
 POLL_S = 0.1
 ANSWER_TIMEOUT_S = 1.0
 
@@ -46,8 +46,8 @@
         context = self._context
         # Each call delays an engine's work. Hosts that don't know of each other yet all
         # take callers, and hundreds of them would ask every engine at once.
-        await asyncio.sleep(HEARD_AFTER_S)
-        until_s = context.clock() + ASKED_FOR_S
+        await asyncio.sleep(PEERS_KNOWN_AFTER_S)
+        until_s = context.clock() + ASK_PERIOD_S
         while context.clock() < until_s:
             # The call delays an engine's work, so only hosts that use it ask.
             if context.is_active():
--- a/libs/entry/gypsumusher_entry/registration.py
+++ b/libs/entry/gypsumusher_entry/registration.py
@@ -8,10 +8,10 @@
 
 # A kind of our own; the platform stores it and reads nothing into it.
 HOSTS_KIND = "entry-hosts"
-FIRST_PAUSE_S, LAST_PAUSE_S = 0.2, 2.0
+MIN_PAUSE_S, MAX_PAUSE_S = 0.2, 2.0
 # The records are read again this often, in seconds, for hosts that nobody told of.
 # Messages between hosts bring news sooner, so it may be rare and stale.
-REREAD_S = 15.0
+REREAD_INTERVAL_S = 15.0
 
 
 class Registration:
@@ -44,16 +44,18 @@
             # that wrote them anew would ask the store for three calls each at once.
             await self._until_done(self._reread)
         while True:
-            await asyncio.sleep(REREAD_S * (0.5 + self._context.draw()))
+            await asyncio.sleep(
+                REREAD_INTERVAL_S * (0.5 + self._context.draw_uniform())
+            )
             await self._until_done(self._reread)
             await self._drop_forgotten()
 
     async def _until_done(self, call):
         """Repeat a call until the store has done it."""
-        pause_s = FIRST_PAUSE_S
+        pause_s = MIN_PAUSE_S
         while not await call():
-            await asyncio.sleep(pause_s * (0.5 + self._context.draw()))
-            pause_s = min(LAST_PAUSE_S, 2.0 * pause_s)
+            await asyncio.sleep(pause_s * (0.5 + self._context.draw_uniform()))
+            pause_s = min(MAX_PAUSE_S, 2.0 * pause_s)
 
     async def _write(self):
         """Write the record; say whether it stands."""
@@ -62,7 +64,7 @@
         result = await self._store.create(HOSTS_KIND, settings.name, content)
         if isinstance(result, Failure) and result.failure().code == "conflict":
             result = await self._store.replace(HOSTS_KIND, settings.name, content)
-        return self._note("record_written", result)
+        return self._succeeded("record_written", result)
 
     async def _reread(self):
         """Read all records as they were some seconds ago, which costs less."""
@@ -72,7 +74,7 @@
         """Read all records; say whether that worked."""
         result = await self._store.list(HOSTS_KIND, allow_stale=allow_stale)
         if isinstance(result, Failure):
-            return self._note("records_read", result)
+            return self._succeeded("records_read", result)
         context = self._context
         stored = result.unwrap().objects
         for item in stored:
@@ -116,9 +118,9 @@
             result = await self._store.delete(HOSTS_KIND, name)
             if isinstance(result, Failure) and result.failure().code == "absent":
                 continue
-            self._note("record_deleted", result)
+            self._succeeded("record_deleted", result)
 
-    def _note(self, event, result):
+    def _succeeded(self, event, result):
         """Log a failure; say whether the call was done."""
         if isinstance(result, Success):
             return True
--- a/libs/entry/gypsumusher_entry/sending_to_endpoints.py
+++ b/libs/entry/gypsumusher_entry/sending_to_endpoints.py
@@ -20,10 +20,10 @@
 # From this penalty on an endpoint is sent to on a new connection. One that has crashed
 # resets a kept connection only when the next request arrives there, which may then have
 # run for all that is known; a new connection is refused before anything is sent.
-FRESH_FROM_PENALTY = 0.2
+NEW_CONNECTION_PENALTY = 0.2
 # Ends of a send that say nothing against the endpoint: it leaves as planned, it reads
 # what others sent first, or this host has no connection left of its share.
-BLAMELESS = ("left", "behind", "no_connection")
+BLAMELESS_REASONS = ("left", "behind", "no_connection")
 
 
 class EngineReply(NamedTuple):
@@ -67,18 +67,18 @@
     """
     context, record = exchange.context, state.record
     exchange.reserve_send()
-    exchange.account.begin()
+    exchange.send_counter.begin()
     try:
         connection = await _connect(context, state)
     except CallError:
-        exchange.account.cancel()
+        exchange.send_counter.cancel()
         raise
-    exchange.account.on_sent()
+    exchange.send_counter.on_sent()
     if not send.is_prefill:
         # Counted before the first byte: from here on only the endpoint's own word
         # makes it sure that nothing ran.
         exchange.possible_runs += 1
-        exchange.ran_at = record.endpoint_id
+        exchange.run_endpoint_id = record.endpoint_id
     data = encode_endpoint_request(exchange.request, send)
     return connection.send(data, exchange.request.request_id or None)
 
@@ -86,11 +86,11 @@
 async def _connect(context, state):
     """Return a connection to an endpoint that takes new work."""
     record = state.record
-    limit = context.connections_max(record.service)
-    is_fresh = state.health.penalty(context.clock()) >= FRESH_FROM_PENALTY
+    limit = context.connection_limit(record.service)
+    is_fresh = state.health.penalty(context.clock()) >= NEW_CONNECTION_PENALTY
     connection = await context.acquire(record, limit, is_fresh)
     if not context.endpoints.is_current(state):
-        context.pool.release(connection)
+        context.connection_pool.release(connection)
         raise CallError("connect", record.address, "left", False)
     return connection
 
@@ -146,24 +146,24 @@
     CallError, TimeoutError
         When no whole answer came.
     """
-    answer = None
+    response = None
     try:
         async with asyncio.timeout(timeout_s):
-            limit = context.connections_max(record.service)
+            limit = context.connection_limit(record.service)
             connection = await context.acquire(record, limit)
-            answer = connection.send(call, None)
-            head = await answer.head()
-            return EngineReply(head.status, await answer.body())
+            response = connection.send(call, None)
+            head = await response.head()
+            return EngineReply(head.status, await response.body())
     finally:
-        if answer is not None:
-            answer.close()
+        if response is not None:
+            response.close()
 
 
 def record_failure(exchange, state, error, **fields):
     """Log a failed send, and count it against the endpoint."""
     context = exchange.context
     now_s = context.clock()
-    if error.reason not in BLAMELESS:
+    if error.reason not in BLAMELESS_REASONS:
         state.health.on_failure(now_s, error.reason)
     exchange.log(
         "warning",
@@ -219,17 +219,17 @@
     """
     loop = asyncio.get_running_loop()
 
-    def leave():
+    def end_wait():
         nonlocal timer
         if limit.expired():
             return
         if may_send_again(exchange) and exchange.try_reserve_send():
             limit.reschedule(loop.time())
         else:
-            timer = loop.call_later(silent_s, leave)
+            timer = loop.call_later(silent_s, end_wait)
 
     async with asyncio.timeout(longest_s) as limit:
-        timer = loop.call_later(silent_s, leave)
+        timer = loop.call_later(silent_s, end_wait)
         try:
             yield
         finally:
--- a/libs/entry/gypsumusher_entry/stage_lease.py
+++ b/libs/entry/gypsumusher_entry/stage_lease.py
@@ -19,9 +19,9 @@
 
 # Name of the one lease; all services' engines are ordered by one host.
 LEASE_NAME = "stages"
-TICK_S = 0.1
+TICK_INTERVAL_S = 0.1
 # What a lease holds, as `Lease` writes it.
-_FIELDS = {"holder", "incarnation", "term", "duration_s", "released", "nonce"}
+_STORED_FIELDS = {"holder", "incarnation", "term", "duration_s", "released", "nonce"}
 
 
 class StageLease:
@@ -63,15 +63,19 @@
         """Begin to keep the lease, until the context is closed."""
         self._context.spawn(self._run())
 
-    def told(self):
+    def known_state(self):
         """Return what this host knows of the lease, for its peers; None for nothing."""
         known = self._lease.last_stored()
         return None if known is None else list(known)
 
-    def on_told(self, told):
+    def on_peer_state(self, state):
         """Take in what a peer knows of the lease."""
-        version, value = told
-        if type(version) is int and isinstance(value, dict) and _FIELDS <= value.keys():
+        version, value = state
+        if (
+            type(version) is int
+            and isinstance(value, dict)
+            and _STORED_FIELDS <= value.keys()
+        ):
             self._lease.on_stored_received(self._clock(), StoredObject(version, value))
 
     def is_held_for(self, reserve_s):
@@ -80,24 +84,24 @@
 
     async def _run(self):
         while True:
-            await self._context.next_tick(TICK_S)
+            await self._context.wait_for_tick(TICK_INTERVAL_S)
             is_held = self._lease.is_held(self._clock())
-            if not (is_held or self._context.gives_orders()):
+            if not (is_held or self._context.should_order_stages()):
                 continue
             await self._perform(self._lease.tick(self._clock()))
 
     async def _perform(self, effects):
         """Perform effects, and those that their events bring."""
-        waiting = list(effects)
-        while waiting:
-            effect = waiting.pop(0)
+        pending_effects = list(effects)
+        while pending_effects:
+            effect = pending_effects.pop(0)
             if isinstance(effect, LeaseGained):
                 self._context.log("info", "stage_lease_gained", term=effect.term)
             elif isinstance(effect, LeaseLost):
                 self._context.log("info", "stage_lease_lost", term=effect.term)
             else:
                 event = await self._call(effect)
-                waiting += self._lease.handle(self._clock(), event)
+                pending_effects += self._lease.handle(self._clock(), event)
 
     async def _call(self, effect):
         """Make one call of the lease; return its event."""
--- a/libs/entry/gypsumusher_entry/stage_orders.py
+++ b/libs/entry/gypsumusher_entry/stage_orders.py
@@ -26,16 +26,16 @@
 
 # How often the demand is looked at, in seconds: often against the second for which a
 # stage may be missing.
-LOOK_S = 0.2
-STEP_S = 0.1
+PLAN_INTERVAL_S = 0.2
+POLL_S = 0.1
 # Longest wait for an engine's answer to a call, in seconds; it answers in milliseconds.
 CALL_TIMEOUT_S = 0.8
 # Authority that must be left when an order goes out, in seconds: it may be on its way
 # for as long as its answer is waited for.
-AUTHORITY_S = CALL_TIMEOUT_S
+MIN_LEASE_S = CALL_TIMEOUT_S
 # An engine's entry tells of its new stage within its heartbeat and the store's lag;
 # until then, in seconds, hosts go by what is said here.
-STAGE_KEPT_S = 6.0
+STAGE_ANNOUNCEMENT_S = 6.0
 
 
 class StageOrders:
@@ -63,11 +63,11 @@
 
     async def _run(self):
         while True:
-            await self._context.next_tick(LOOK_S)
-            if self._lease.is_held_for(AUTHORITY_S):
-                self._look()
+            await self._context.wait_for_tick(PLAN_INTERVAL_S)
+            if self._lease.is_held_for(MIN_LEASE_S):
+                self._plan()
 
-    def _look(self):
+    def _plan(self):
         """Plan each service's stages, and begin the changes."""
         context = self._context
         if context.configuration is None:
@@ -108,9 +108,11 @@
             if state.record.service != service or state.stage is None:
                 continue
             load = state.load(now_s)
-            news = state.ordered_stage
+            ordered = state.ordered_stage
             order = self._orders.get(endpoint_id)
-            is_switching = order is not None or (news is not None and news.is_switching)
+            is_switching = order is not None or (
+                ordered is not None and ordered.is_switching
+            )
             # One that changes its stage refuses work, which says nothing against it.
             is_sound = is_switching or not state.health.is_avoided(now_s)
             if state.record.is_draining or state.is_address_taken:
@@ -137,23 +139,23 @@
                 if step in (DONE, GIVEN_UP):
                     break
                 if step == ASK:
-                    order.on_report(context.clock(), await self._report(record))
+                    order.on_report(context.clock(), await self._fetch_report(record))
                 elif step == SEND:
-                    if not self._lease.is_held_for(AUTHORITY_S):
+                    if not self._lease.is_held_for(MIN_LEASE_S):
                         break
                     await self._send(state, order)
                 else:
-                    await asyncio.sleep(STEP_S)
+                    await asyncio.sleep(POLL_S)
         finally:
             del self._orders[record.endpoint_id]
-            self._tell(state, None)
+            self._announce(state, None)
             if step == DONE:
-                news = OrderedStage(order.stage, False)
-                state.on_stage_ordered(context.clock(), news, STAGE_KEPT_S)
-                self._tell(state, news)
+                ordered = OrderedStage(order.stage, False)
+                state.on_stage_ordered(context.clock(), ordered, STAGE_ANNOUNCEMENT_S)
+                self._announce(state, ordered)
             elif order.sends:
                 state.expire_ordered_stage(float("inf"))
-        context.metrics.stage_ordered(order.stage, step)
+        context.metrics.on_stage_order_end(order.stage, step)
         context.log(
             "info",
             "stage_order_ended",
@@ -164,10 +166,10 @@
             term=self._lease.term,
         )
         if step == DONE:
-            await asyncio.sleep(STAGE_KEPT_S)
-            self._tell(state, None)
+            await asyncio.sleep(STAGE_ANNOUNCEMENT_S)
+            self._announce(state, None)
 
-    async def _report(self, record):
+    async def _fetch_report(self, record):
         """Return an engine's report, or None when none came."""
         call = encode_report_request(record.address)
         try:
@@ -186,9 +188,9 @@
         """Send an order once; note what its answer says."""
         context, record = self._context, state.record
         # From the first byte on the engine may refuse work, so no host sends it any.
-        news = OrderedStage(order.stage, True)
-        state.on_stage_ordered(context.clock(), news, float("inf"))
-        self._tell(state, news)
+        ordered = OrderedStage(order.stage, True)
+        state.on_stage_ordered(context.clock(), ordered, float("inf"))
+        self._announce(state, ordered)
         order.on_send(context.clock())
         call = encode_stage_order(
             record,
@@ -215,12 +217,12 @@
             detail=detail,
         )
 
-    def _tell(self, state, news):
+    def _announce(self, state, ordered):
         """Have the peers told what was ordered of an engine; None ends that."""
         context, record = self._context, state.record
-        told = [
+        announced = [
             item for item in context.ordered_stages if item[0] != record.endpoint_id
         ]
-        if news is not None:
-            told.append([*record.incarnation, news.stage, news.is_switching])
-        context.ordered_stages = told
+        if ordered is not None:
+            announced.append([*record.incarnation, ordered.stage, ordered.is_switching])
+        context.ordered_stages = announced
--- a/libs/entry/gypsumusher_entry/staleness_monitor.py
+++ b/libs/entry/gypsumusher_entry/staleness_monitor.py
@@ -10,7 +10,7 @@
 POLL_S = 0.1
 # News is overdue after this part of the operator's bound: peers bring it within a tenth
 # of the bound as a rule, and what is left has to be enough for reading the store.
-OVERDUE_PART = 0.25
+OVERDUE_FRACTION = 0.25
 
 
 class StalenessMonitor:
@@ -37,7 +37,7 @@
 
     async def _run(self):
         while True:
-            await self._context.next_tick(POLL_S)
+            await self._context.wait_for_tick(POLL_S)
             self._compare()
 
     def _compare(self):
@@ -46,20 +46,20 @@
         now_s, bounds = context.clock(), context.settings.bounds
         version, revision = context.hosts.newest_versions(now_s)
         known = context.configuration_version
-        self._note(now_s, CONFIGURATION, known, version, bounds.configuration_s)
+        self._update(now_s, CONFIGURATION, known, version, bounds.configuration_s)
         if context.sees_store:
             # The store's own word; its revisions also grow by what isn't an endpoint.
             revision = 0
         known = context.endpoints.newest_received_revision
-        self._note(now_s, ENDPOINTS, known, revision, bounds.drain_s)
+        self._update(now_s, ENDPOINTS, known, revision, bounds.drain_s)
 
-    def _note(self, now_s, kind, known, newest, bound_s):
+    def _update(self, now_s, kind, known, newest, bound_s):
         """Take in one comparison; log when news becomes overdue, and when it came."""
         context = self._context
         before_s = self._lags[kind].lag_s
         lag_s = self._lags[kind].update(now_s, known, newest)
-        context.metrics.lagged(kind, lag_s)
-        is_overdue = lag_s > OVERDUE_PART * bound_s
+        context.metrics.set_lag(kind, lag_s)
+        is_overdue = lag_s > OVERDUE_FRACTION * bound_s
         if is_overdue == (kind in self._overdue):
             return
         if is_overdue:
--- a/libs/entry/gypsumusher_entry/stall_monitor.py
+++ b/libs/entry/gypsumusher_entry/stall_monitor.py
@@ -9,13 +9,13 @@
 
 __all__ = ["StallMonitor", "PendingResponse"]
 
-SWEEP_S = 0.1
+CHECK_INTERVAL_S = 0.1
 # A wait that goes on is counted again after this time, in seconds, so that the endpoint
 # stays left out for as long as it stays silent.
-AGAIN_S = 1.0
+RECOUNT_INTERVAL_S = 1.0
 # An endpoint that has sent anything to this host within this time isn't silent, in
 # seconds. One that carries a few streams sends several events in it.
-OVERDUE_SILENCE_S = 0.6
+SILENCE_S = 0.6
 
 
 class PendingResponse:
@@ -48,11 +48,11 @@
         Coroutine ``next_tick(period_s)`` that waits for the next look.
     """
 
-    def __init__(self, clock, log, next_tick):
+    def __init__(self, clock, log, wait_for_tick):
         self._clock = clock
         self._log = log
-        self._next_tick = next_tick
-        self._waits = set()
+        self._wait_for_tick = wait_for_tick
+        self._pending = set()
         self._task = None
 
     async def start(self):
@@ -83,35 +83,35 @@
             Its ``due_s`` is moved on with each sign of life.
         """
         now_s = self._clock()
-        wait = PendingResponse(request_id, state, now_s + limit_s)
-        self._waits.add(wait)
-        return wait
+        pending = PendingResponse(request_id, state, now_s + limit_s)
+        self._pending.add(pending)
+        return pending
 
-    def end(self, wait):
+    def end(self, pending):
         """Watch a request no longer."""
-        self._waits.discard(wait)
+        self._pending.discard(pending)
 
-    def look(self, now_s):
+    def check(self, now_s):
         """Count what is overdue against its endpoint."""
-        for wait in self._waits:
-            if now_s < wait.due_s:
+        for pending in self._pending:
+            if now_s < pending.due_s:
                 continue
-            late_s = now_s - wait.due_s
-            wait.due_s = now_s + AGAIN_S
-            if wait.state.has_answered_since(now_s - OVERDUE_SILENCE_S):
+            late_s = now_s - pending.due_s
+            pending.due_s = now_s + RECOUNT_INTERVAL_S
+            if pending.state.has_answered_since(now_s - SILENCE_S):
                 # It is behind, not silent: what it reads last waits long.
                 continue
-            wait.state.health.on_failure(now_s, "silent")
+            pending.state.health.on_failure(now_s, "silent")
             self._log(
                 "warning",
                 "endpoint_overdue",
-                id=wait.request_id,
-                endpoint=wait.state.record.endpoint_id,
+                id=pending.request_id,
+                endpoint=pending.state.record.endpoint_id,
                 late_s=round(late_s, 2),
-                penalty=round(wait.state.health.penalty(now_s), 2),
+                penalty=round(pending.state.health.penalty(now_s), 2),
             )
 
     async def _run(self):
         while True:
-            await self._next_tick(SWEEP_S)
-            self.look(self._clock())
+            await self._wait_for_tick(CHECK_INTERVAL_S)
+            self.check(self._clock())
--- a/libs/entry/gypsumusher_entry/store_watcher.py
+++ b/libs/entry/gypsumusher_entry/store_watcher.py
@@ -17,30 +17,30 @@
 __all__ = ["StoreWatcher", "apply_stored_configuration"]
 
 # Kinds of objects that a host has to know of; it sees the store when it hears of all.
-FOLLOWED = frozenset((CONFIGURATION_KIND, ENDPOINTS_KIND))
-NEWS_OF_KIND = {CONFIGURATION_KIND: CONFIGURATION, ENDPOINTS_KIND: ENDPOINTS}
+FOLLOWED_KINDS = frozenset((CONFIGURATION_KIND, ENDPOINTS_KIND))
+STATE_OF_KIND = {CONFIGURATION_KIND: CONFIGURATION, ENDPOINTS_KIND: ENDPOINTS}
 # A watch is renewed this long before a silent connection could break a bound, in
 # seconds: the next call needs to be answered within it.
-WATCH_RESERVE_S = 1.0
+WATCH_MARGIN_S = 1.0
 WATCH_MIN_S, WATCH_MAX_S = 1.0, 20.0
 # Pauses between calls to a store that doesn't answer, in seconds: it is asked again
 # soon, since bounds count from its return, and by all hosts, which its rates must bear.
-FIRST_PAUSE_S, LAST_PAUSE_S = 0.1, 0.5
+MIN_PAUSE_S, MAX_PAUSE_S = 0.1, 0.5
 # A store that failed a call this long ago may have come back without the entries that
 # lapsed meanwhile, in seconds: it is asked again within two of them while it is away. A
 # host that left it to others since then finds all entries back.
-JUST_BACK_S = 3.0
+RECENT_FAILURE_S = 3.0
 # Word of what the store has told the peers comes within this time, in seconds.
-PEERS_WORD_S = 0.15
+PEER_UPDATE_DELAY_S = 0.15
 # How often a host that others watch for looks whether they still do, in seconds.
-IDLE_POLL_S = 0.2
+WATCHED_BY_PEERS_POLL_S = 0.2
 # Longest pause between two readings of its own while it is behind, in seconds.
-LAST_OWN_PAUSE_S = 5.0
+MAX_OWN_READ_PAUSE_S = 5.0
 # Hosts that start together have heard of each other by then, in seconds, and know which
 # of them watch the store.
-HEARD_AFTER_S = 0.5
+PEERS_KNOWN_AFTER_S = 0.5
 # Endpoints that are missing are dropped this often, in seconds.
-DROP_S = 0.2
+DROP_INTERVAL_S = 0.2
 
 
 class StoreWatcher:
@@ -57,43 +57,43 @@
     def __init__(self, context, store):
         self._context = context
         self._store = store
-        self._lost = set()
-        self._answered = set()
-        self._listed = set()
-        self._failed_s = self._failing_since_s = context.clock()
+        self._lost_kinds = set()
+        self._answered_kinds = set()
+        self._listed_kinds = set()
+        self._last_failure_s = self._failing_since_s = context.clock()
         bounds = context.settings.bounds
         least_s = min(bounds.drain_s, bounds.configuration_s)
         # A connection may go silent without a reset. After the stable window the
         # bounds hold again, so by the window and the bound the watch has to be over.
-        wait_s = bounds.stable_window_s + least_s - WATCH_RESERVE_S
+        wait_s = bounds.stable_window_s + least_s - WATCH_MARGIN_S
         self._watch_s = min(WATCH_MAX_S, max(WATCH_MIN_S, wait_s))
 
     async def start(self):
         """Begin to follow, until the context is closed."""
-        self._lost = set(FOLLOWED)
+        self._lost_kinds = set(FOLLOWED_KINDS)
         spawn = self._context.spawn
         spawn(self._follow(CONFIGURATION_KIND, self._on_configurations))
         spawn(self._follow(ENDPOINTS_KIND, self._on_endpoints))
         spawn(self._drop_missing())
 
-    async def _follow(self, kind, take):
+    async def _follow(self, kind, apply):
         """List a kind, then watch it; list again after each gap."""
         revision = None
-        pause_s, own_pause_s = FIRST_PAUSE_S, IDLE_POLL_S
+        pause_s, own_pause_s = MIN_PAUSE_S, WATCHED_BY_PEERS_POLL_S
         while True:
-            reads_for_itself = False
-            if self._has_peers_that_watch(kind):
+            reads_directly = False
+            if self._is_watched_by_peers(kind):
                 revision = None
                 # Peers whose links are full, or that can't be reached, leave this host
                 # with old routes and with endpoints that have left, while the store
                 # would answer it at once.
-                reads_for_itself = self._context.lags.is_overdue(NEWS_OF_KIND[kind])
-                if reads_for_itself:
+                reads_directly = self._context.staleness.is_overdue(STATE_OF_KIND[kind])
+                if reads_directly:
                     await asyncio.sleep(own_pause_s)
                 else:
-                    await self._context.next_tick(IDLE_POLL_S)
-                    own_pause_s = IDLE_POLL_S
-                    self._answered.discard(kind)
+                    await self._context.wait_for_tick(WATCHED_BY_PEERS_POLL_S)
+                    own_pause_s = WATCHED_BY_PEERS_POLL_S
+                    self._answered_kinds.discard(kind)
                     continue
             if revision is None:
                 result = await self._store.list(kind)
@@ -105,35 +105,35 @@
                 if error.code == "history_gone":
                     self._context.log("info", "history_gone", kind=kind)
                     continue
-                self._on_lost(kind, error)
+                self._on_failure(kind, error)
                 # Spread, so that hosts that lost the store don't come back in step.
-                await asyncio.sleep(pause_s * (0.5 + self._context.draw()))
-                pause_s = min(LAST_PAUSE_S, 2.0 * pause_s)
+                await asyncio.sleep(pause_s * (0.5 + self._context.draw_uniform()))
+                pause_s = min(MAX_PAUSE_S, 2.0 * pause_s)
                 continue
-            pause_s = FIRST_PAUSE_S
-            if kind in self._lost and self._context.endpoints.states:
+            pause_s = MIN_PAUSE_S
+            if kind in self._lost_kinds and self._context.endpoints.states:
                 # What they have heard meanwhile tells whether it was away for all.
-                await asyncio.sleep(PEERS_WORD_S)
-            self._on_answered(kind, reads_for_itself)
+                await asyncio.sleep(PEER_UPDATE_DELAY_S)
+            self._on_answered(kind, reads_directly)
             found = result.unwrap()
-            take(found, revision is None)
+            apply(found, revision is None)
             revision = found.revision
-            if kind not in self._listed:
-                self._listed.add(kind)
-                await asyncio.sleep(HEARD_AFTER_S)
-            if reads_for_itself:
+            if kind not in self._listed_kinds:
+                self._listed_kinds.add(kind)
+                await asyncio.sleep(PEERS_KNOWN_AFTER_S)
+            if reads_directly:
                 # What it can't read doesn't become readable by reading it again.
-                own_pause_s = min(LAST_OWN_PAUSE_S, 2.0 * own_pause_s)
+                own_pause_s = min(MAX_OWN_READ_PAUSE_S, 2.0 * own_pause_s)
 
-    def _has_peers_that_watch(self, kind):
+    def _is_watched_by_peers(self, kind):
         """Say whether others watch a kind for this host, which has learnt of it.
 
         At the first start of all hosts the list of endpoints is empty for seconds;
         that others watch it holds then too.
         """
         context = self._context
-        knows_all = context.configuration is not None and context.endpoints.states
-        if kind not in self._listed and not knows_all:
+        has_state = context.configuration is not None and context.endpoints.states
+        if kind not in self._listed_kinds and not has_state:
             return False
         if context.watches_store():
             return False
@@ -151,7 +151,7 @@
 
     def _on_endpoints(self, found, is_listing):
         if is_listing:
-            _take_listing(self._context, found)
+            _apply_endpoint_list(self._context, found)
             return
         context = self._context
         for change in found.changes:
@@ -168,16 +168,16 @@
                     _log_endpoint(context, record)
         context.endpoints.revision = max(context.endpoints.revision, found.revision)
 
-    def _on_lost(self, kind, error):
+    def _on_failure(self, kind, error):
         now_s = self._context.clock()
-        if now_s - self._failed_s > JUST_BACK_S:
+        if now_s - self._last_failure_s > RECENT_FAILURE_S:
             self._failing_since_s = now_s
-        self._failed_s = now_s
-        self._answered.discard(kind)
+        self._last_failure_s = now_s
+        self._answered_kinds.discard(kind)
         self._context.sees_store = False
-        if kind in self._lost:
+        if kind in self._lost_kinds:
             return
-        self._lost.add(kind)
+        self._lost_kinds.add(kind)
         self._context.log(
             "warning",
             "dependency_lost",
@@ -188,19 +188,21 @@
             detail=error.detail,
         )
 
-    def _on_answered(self, kind, reads_for_itself):
+    def _on_answered(self, kind, reads_directly):
         context = self._context
-        if kind in self._lost:
-            self._lost.discard(kind)
-            is_just_back = context.clock() - self._failed_s <= JUST_BACK_S
+        if kind in self._lost_kinds:
+            self._lost_kinds.discard(kind)
+            failed_recently = context.clock() - self._last_failure_s <= RECENT_FAILURE_S
             # A host that reads for itself has peers that saw the store all the while:
             # what its list lacks has left, and must get no work for the grace besides.
-            waits = is_just_back and not reads_for_itself and not self._failed_alone()
-            if kind == ENDPOINTS_KIND and waits:
+            starts_grace = (
+                failed_recently and not reads_directly and not self._failed_alone()
+            )
+            if kind == ENDPOINTS_KIND and starts_grace:
                 context.endpoints.on_store_returned(context.clock())
             context.log("info", "dependency_regained", dependency="store", kind=kind)
-        self._answered.add(kind)
-        context.sees_store = self._answered == FOLLOWED
+        self._answered_kinds.add(kind)
+        context.sees_store = self._answered_kinds == FOLLOWED_KINDS
 
     def _failed_alone(self):
         """Say whether the store has answered peers while calls from here failed.
@@ -218,7 +220,7 @@
         """Drop endpoints whose entries have not come back."""
         context = self._context
         while True:
-            await context.next_tick(DROP_S)
+            await context.wait_for_tick(DROP_INTERVAL_S)
             if (
                 context.endpoints.is_in_grace_period(context.clock())
                 and self._failed_alone()
@@ -226,7 +228,7 @@
                 context.endpoints.end_grace_period()
             for endpoint_id in context.endpoints.drop_missing(context.clock()):
                 context.log("info", "endpoint_dropped", endpoint=endpoint_id)
-            context.pool.close_expired()
+            context.connection_pool.close_expired()
             for state in context.endpoints.states.values():
                 state.prefixes.drop_expired(context.clock())
                 state.expire_ordered_stage(context.clock())
@@ -249,10 +251,10 @@
     except DecodeError as error:
         context.log("error", "configuration_unreadable", error=error, source=source)
         return
-    context.adopt(configuration, stored, source)
+    context.apply_configuration(configuration, stored, source)
 
 
-def _take_listing(context, listing):
+def _apply_endpoint_list(context, listing):
     """Take over a whole list of endpoints."""
     records = []
     for stored in listing.objects:
--- a/libs/entry/gypsumusher_entry/sync_messages.py
+++ b/libs/entry/gypsumusher_entry/sync_messages.py
@@ -25,9 +25,9 @@
 # endpoints have 150 KB. Beyond that an answer is none of ours, and is not kept in a
 # memory of 200 MB.
 SYNC_RESPONSE_MAX_BYTES = 2 * 1024 * 1024
-CONTENT_MAX_BYTES = 4 * 1024 * 1024
+DECOMPRESSED_MAX_BYTES = 4 * 1024 * 1024
 # The fastest level of packing: 6 ms for 1,400 routes, once a version.
-PACK_LEVEL = 1
+COMPRESSION_LEVEL = 1
 
 
 class SyncResponse(NamedTuple):
@@ -51,7 +51,7 @@
     configuration: StoredObject | None
     endpoints: tuple[EndpointRecord, ...] | None
     revision: int
-    is_whole: bool
+    is_complete: bool
     removed: tuple[str, ...] | None = None
 
 
@@ -63,34 +63,34 @@
     """
 
     def __init__(self):
-        self._packed = {}
+        self._compressed = {}
 
-    def encode(self, beliefs: SyncResponse) -> bytes:
+    def encode(self, response: SyncResponse) -> bytes:
         """Return an answer's bytes."""
-        stored = beliefs.configuration
+        stored = response.configuration
         configuration = None
         if stored is not None:
             key = ("configuration", stored.revision)
-            configuration = self._pack(key, list(stored))
+            configuration = self._compress(key, list(stored))
         endpoints = None
-        if beliefs.endpoints is not None:
+        if response.endpoints is not None:
             # An entry's beat changes the record and not the revision.
-            records = [list(record) for record in beliefs.endpoints]
-            endpoints = self._pack(None, records)
-        fields = [configuration, endpoints, beliefs.revision, beliefs.is_whole]
-        if beliefs.removed is not None:
+            records = [list(record) for record in response.endpoints]
+            endpoints = self._compress(None, records)
+        fields = [configuration, endpoints, response.revision, response.is_complete]
+        if response.removed is not None:
             # Hosts of an earlier release don't ask for changes, and read four fields.
-            fields.append(list(beliefs.removed))
+            fields.append(list(response.removed))
         return msgpack.packb(fields)
 
-    def _pack(self, key, value):
+    def _compress(self, key, value):
         """Pack a value; keep it under its key, in place of the last one's."""
-        if key is not None and key in self._packed:
-            return self._packed[key]
-        packed = zlib.compress(msgpack.packb(value), PACK_LEVEL)
+        if key is not None and key in self._compressed:
+            return self._compressed[key]
+        compressed = zlib.compress(msgpack.packb(value), COMPRESSION_LEVEL)
         if key is not None:
-            self._packed = {key: packed}
-        return packed
+            self._compressed = {key: compressed}
+        return compressed
 
 
 def decode_sync_response(peer: str, data: bytes) -> SyncResponse:
@@ -110,29 +110,31 @@
         drop the endpoints of its other half.
     """
     try:
-        configuration, endpoints, revision, is_whole, *rest = msgpack.unpackb(data)
+        configuration, endpoints, revision, is_complete, *rest = msgpack.unpackb(data)
         removed = None
         if rest:
             removed = tuple(rest[0])
         stored = None
         if configuration is not None:
-            stored = StoredObject(*_unpack(configuration))
+            stored = StoredObject(*_decompress(configuration))
         records = None
         if endpoints is not None:
-            records = tuple(EndpointRecord(*fields) for fields in _unpack(endpoints))
+            records = tuple(
+                EndpointRecord(*fields) for fields in _decompress(endpoints)
+            )
     except (ValueError, TypeError, zlib.error, msgpack.UnpackException) as error:
         raise DecodeError("beliefs", peer, repr(error)) from error
-    if type(revision) is not int or type(is_whole) is not bool:
+    if type(revision) is not int or type(is_complete) is not bool:
         raise DecodeError("beliefs", peer, "revision or is_whole has another type")
     if removed is not None and not all(type(item) is str for item in removed):
         raise DecodeError("beliefs", peer, "removed holds no ids")
-    return SyncResponse(stored, records, revision, is_whole, removed)
+    return SyncResponse(stored, records, revision, is_complete, removed)
 
 
-def _unpack(packed):
+def _decompress(compressed):
     """Return a packed value; a few bytes must not grow to fill the memory."""
-    unpacker = zlib.decompressobj()
-    content = unpacker.decompress(packed, CONTENT_MAX_BYTES)
-    if not unpacker.eof:
-        raise ValueError(f"cut short, or over {CONTENT_MAX_BYTES} bytes")
+    decompressor = zlib.decompressobj()
+    content = decompressor.decompress(compressed, DECOMPRESSED_MAX_BYTES)
+    if not decompressor.eof:
+        raise ValueError(f"cut short, or over {DECOMPRESSED_MAX_BYTES} bytes")
     return msgpack.unpackb(content, strict_map_key=False)
--- a/libs/entry/tests/host_harness.py
+++ b/libs/entry/tests/host_harness.py
@@ -15,11 +15,11 @@
 from gypsumusher_standins.object_store import ObjectStore
 
 __all__ = [
-    "ANY",
+    "IDEMPOTENT_ROUTE",
     "BOUNDS",
-    "ONCE",
-    "RESUMABLE",
-    "STREAM",
+    "AT_MOST_ONCE_ROUTE",
+    "RESUMABLE_ROUTE",
+    "STREAM_ROUTE",
     "HostWithoutStore",
     "HostHarness",
     "ask",
@@ -33,10 +33,10 @@
 ]
 
 BOUNDS = Bounds(2.0, 2.0, 8.0, 3.0, 3.0, 0.3, 0.2, 54.0, 10.0, 5.0, False)
-ANY = {"kind": "idempotent", "attempts": 2}
-ONCE = {"kind": "non_idempotent", "attempts": 1}
-STREAM = {"kind": "stream", "attempts": 1, "sticky": True}
-RESUMABLE = {"kind": "stream", "attempts": 2, "sticky": True, "resumable": True}
+IDEMPOTENT_ROUTE = {"kind": "idempotent", "attempts": 2}
+AT_MOST_ONCE_ROUTE = {"kind": "non_idempotent", "attempts": 1}
+STREAM_ROUTE = {"kind": "stream", "attempts": 1, "sticky": True}
+RESUMABLE_ROUTE = {"kind": "stream", "attempts": 2, "sticky": True, "resumable": True}
 
 
 def run(coroutine):
@@ -53,7 +53,7 @@
 class HostHarness:
     """A store, scripted endpoints, and one host before them."""
 
-    def __init__(self, *scripts, routes=(ANY,)):
+    def __init__(self, *scripts, routes=(IDEMPOTENT_ROUTE,)):
         self.endpoints = [ScriptedEndpoint(script) for script in scripts]
         self.routes = routes
         self.log_lines = []
@@ -141,35 +141,37 @@
 @contextlib.asynccontextmanager
 async def host_without_store(*endpoint_addresses):
     """Give two hosts, of which only one reads the store, before some endpoints."""
-    store, blind = ObjectStore(), ObjectStore()
-    blind.fault = "refuse"
-    address, nowhere = await store.start(), await blind.start()
-    store.put("config", "main", configuration(1, ANY))
+    store, refusing_store = ObjectStore(), ObjectStore()
+    refusing_store.fault = "refuse"
+    address, refusing_address = await store.start(), await refusing_store.start()
+    store.put("config", "main", configuration(1, IDEMPOTENT_ROUTE))
     for number, endpoint_address in enumerate(endpoint_addresses or ["127.0.0.1:9"]):
         store.put("servers", f"e-{number}", entry(endpoint_address))
     port = free_ports("127.0.0.2", 1)[0]
     lines = []
-    seeing = EntryHost(
+    peer = EntryHost(
         settings(address, "127.0.0.2", "host-2", (), port), lambda *a, **f: None
     )
-    listens = await seeing.start()
+    listens = await peer.start()
     link = Proxy(listens["peers"])
-    seeing.context.settings = seeing.context.settings._replace(
+    peer.context.settings = peer.context.settings._replace(
         peers_address=await link.start()
     )
     other = EntryHost(
-        settings(nowhere, "127.0.0.3", "host-3", ("127.0.0.2:0",), port),
+        settings(refusing_address, "127.0.0.3", "host-3", ("127.0.0.2:0",), port),
         lambda level, event, **fields: lines.append((event, fields)),
     )
     listens = await other.start()
     session = aiohttp.ClientSession(base_url=f"http://{listens['callers']}")
-    seeing.context.hosts.on_record(0.0, "host-3", "127.0.0.3")
+    peer.context.hosts.on_record(0.0, "host-3", "127.0.0.3")
     await until(lambda: other.context.configuration_version == 1)
     try:
-        yield HostWithoutStore(store, blind, link, other.context, session, lines)
+        yield HostWithoutStore(
+            store, refusing_store, link, other.context, session, lines
+        )
     finally:
         await session.close()
-        for part in (other, seeing, link, store, blind):
+        for part in (other, peer, link, store, refusing_store):
             await part.close()
 
 
--- a/libs/entry/tests/test_host_api.py
+++ b/libs/entry/tests/test_host_api.py
@@ -11,7 +11,7 @@
             return answer.status, await answer.read()
 
 
-def test_each_question_is_answered_on_its_listener():
+def test_each_path_is_served_on_its_listener():
     async def scenario():
         async with HostHarness() as host:
             status, body = await get(host, "ready", "/v1/readyz")
@@ -25,7 +25,7 @@
     run(scenario())
 
 
-def test_questions_that_make_no_sense_are_refused():
+def test_invalid_requests_are_rejected():
     async def scenario():
         async with HostHarness() as host:
             assert (await get(host, "ready", "/v1/other"))[0] == 404
@@ -39,7 +39,7 @@
     run(scenario())
 
 
-def test_metrics_are_told_before_and_after_the_first_request():
+def test_metrics_are_served_before_and_after_first_request():
     async def scenario():
         async with HostHarness() as host:
             status, body = await get(host, "ready", "/metrics")
--- a/libs/entry/tests/test_peer_sync.py
+++ b/libs/entry/tests/test_peer_sync.py
@@ -4,7 +4,14 @@
 import contextlib
 
 import pytest
-from host_harness import ANY, configuration, entry, host_without_store, run, until
+from host_harness import (
+    IDEMPOTENT_ROUTE,
+    configuration,
+    entry,
+    host_without_store,
+    run,
+    until,
+)
 from platform_samples import many_routes
 
 from gypsumusher_entry.sync_messages import (
@@ -18,18 +25,20 @@
 # the size that the project is designed for.
 MANY_ROUTES, MANY_ENDPOINTS = 1400, 910
 # Bytes that a link of 5 Mbit/s, the weakest seen, carries in a quarter of a second.
-WEAK_LINK_BYTES = 150_000
+SLOW_LINK_BYTES = 150_000
 
 
-def test_a_configuration_of_many_routes_reaches_hosts_that_others_watch_for():
+def test_large_configuration_reaches_host_without_store():
     # An operator adds a thousand routes. The hosts that watch the store take them; at
     # the others callers of the new routes get 404 until the day ends. The answer of
     # a peer came in several pieces, and the first was taken for all of it.
     async def scenario():
-        async with host_without_store() as two:
-            store, context, lines = two.store, two.context, two.lines
+        async with host_without_store() as hosts:
+            store, context, lines = hosts.store, hosts.context, hosts.lines
             store.put(
-                "config", "main", configuration(2, *many_routes(MANY_ROUTES, ANY))
+                "config",
+                "main",
+                configuration(2, *many_routes(MANY_ROUTES, IDEMPOTENT_ROUTE)),
             )
             await until(lambda: context.configuration_version == 2)
             assert len(context.configuration.routes) == MANY_ROUTES
@@ -38,15 +47,22 @@
     run(scenario())
 
 
-def test_a_peer_that_stalls_is_asked_again_and_nothing_of_it_is_used():
+def test_stalled_peer_is_asked_again_and_its_response_discarded():
     # The link to the only peer that knows more holds back its answers for a while.
     # The host goes on by what it knows, and hears the news once the link is well.
     async def scenario():
-        async with host_without_store() as two:
-            store, link, context, lines = two.store, two.link, two.context, two.lines
+        async with host_without_store() as hosts:
+            store, link, context, lines = (
+                hosts.store,
+                hosts.link,
+                hosts.context,
+                hosts.lines,
+            )
             link.set_holds(False, True)
             store.put(
-                "config", "main", configuration(2, *many_routes(MANY_ROUTES, ANY))
+                "config",
+                "main",
+                configuration(2, *many_routes(MANY_ROUTES, IDEMPOTENT_ROUTE)),
             )
             await until(lambda: "peer_not_heard" in [event for event, _ in lines])
             assert context.configuration_version == 1
@@ -58,70 +74,74 @@
     run(scenario())
 
 
-def test_a_host_that_hears_nothing_newer_says_so_until_it_does():
+def test_host_reports_stale_configuration_until_it_catches_up():
     # Callers of one host are served by old routes while all others go by the new ones.
     # The host is well by all that its log and metrics tell, so nobody looks there.
     async def scenario():
-        async with host_without_store() as two:
-            two.link.set_holds(False, True)
-            two.store.put("config", "main", configuration(2, ANY, ANY))
-            await until(lambda: "news_overdue" in [event for event, _ in two.lines])
-            fields = dict(two.lines)["news_overdue"]
+        async with host_without_store() as hosts:
+            hosts.link.set_holds(False, True)
+            hosts.store.put(
+                "config", "main", configuration(2, IDEMPOTENT_ROUTE, IDEMPOTENT_ROUTE)
+            )
+            await until(lambda: "news_overdue" in [event for event, _ in hosts.lines])
+            fields = dict(hosts.lines)["news_overdue"]
             assert (fields["kind"], fields["known"]) == ("configuration", 1)
             assert fields["newest"] == 2
-            page = two.context.metrics.render()[0].decode()
+            page = hosts.context.metrics.render()[0].decode()
             assert "gypsumusher_configuration_version 1" in page
-            two.link.set_holds(False, False)
-            two.link.reset()
-            await until(lambda: "news_caught_up" in [event for event, _ in two.lines])
-            assert two.context.configuration_version == 2
+            hosts.link.set_holds(False, False)
+            hosts.link.reset()
+            await until(lambda: "news_caught_up" in [event for event, _ in hosts.lines])
+            assert hosts.context.configuration_version == 2
 
     run(scenario())
 
 
-def test_the_log_names_endpoints_of_which_a_peer_says_no_more():
+def test_log_names_endpoints_removed_by_peer():
     async def scenario():
-        async with host_without_store("127.0.0.1:9", "127.0.0.1:8") as two:
-            two.store.remove("servers", "e-1")
-            await until(lambda: "e-1" not in two.context.endpoints.states)
-            told = [fields for event, fields in two.lines if "from_peer" in event]
-            assert told[-1]["changed"] == "e-1"
+        async with host_without_store("127.0.0.1:9", "127.0.0.1:8") as hosts:
+            hosts.store.remove("servers", "e-1")
+            await until(lambda: "e-1" not in hosts.context.endpoints.states)
+            logged = [fields for event, fields in hosts.lines if "from_peer" in event]
+            assert logged[-1]["changed"] == "e-1"
 
     run(scenario())
 
 
-def test_one_change_of_very_many_endpoints_is_told_alone():
+def test_single_endpoint_change_is_sent_alone():
     """Each change of an endpoint was told to all hosts as the list of all of them."""
 
     async def scenario():
         addresses = [f"127.0.0.1:{port}" for port in range(9, 9 + MANY_ENDPOINTS // 10)]
-        async with host_without_store(*addresses) as two:
-            context = two.context
+        async with host_without_store(*addresses) as hosts:
+            context = hosts.context
             # Until then the peer waits for entries that may come back.
             await until(lambda: context.endpoints.revision > 0)
-            heard = len(two.lines)
+            line_count = len(hosts.lines)
             changed = entry(addresses[0], "draining", beat=2)
-            two.store.put("servers", "e-0", changed)
+            hosts.store.put("servers", "e-0", changed)
             states = context.endpoints.states
             await until(lambda: states["e-0"].record.is_draining)
-            two.store.remove("servers", "e-1")
+            hosts.store.remove("servers", "e-1")
             await until(lambda: "e-1" not in context.endpoints.states)
-            told = [fields for event, fields in two.lines[heard:] if "peer" in event]
-            assert {fields["told"] for fields in told} == {1}
+            logged = [
+                fields for event, fields in hosts.lines[line_count:] if "peer" in event
+            ]
+            assert {fields["told"] for fields in logged} == {1}
             assert len(context.endpoints.states) == len(addresses) - 1
 
     run(scenario())
 
 
-def test_a_change_is_encoded_with_what_is_gone():
-    changed = beliefs()._replace(configuration=None, removed=("e-7", "e-8"))
+def test_changes_include_removed_ids():
+    changed = sync_response()._replace(configuration=None, removed=("e-7", "e-8"))
     data = SyncResponseEncoder().encode(changed)
     assert len(data) < 300
     assert decode_sync_response("host-2", data) == changed
 
 
-def test_ids_of_another_type_are_refused():
-    changed = beliefs()._replace(removed=(7,))
+def test_removed_ids_of_wrong_type_are_rejected():
+    changed = sync_response()._replace(removed=(7,))
     with pytest.raises(DecodeError):
         decode_sync_response("host-2", SyncResponseEncoder().encode(changed))
 
@@ -137,49 +157,53 @@
     )  # fmt: skip
 
 
-def beliefs(routes=1, endpoints=1):
-    content = configuration(7, *many_routes(routes, ANY))
+def sync_response(routes=1, endpoints=1):
+    content = configuration(7, *many_routes(routes, IDEMPOTENT_ROUTE))
     stored = StoredObject("main", 5, content, None)
     return SyncResponse(stored, records(endpoints), 9, True)
 
 
-def test_beliefs_of_the_largest_size_fit_a_weak_link():
+def test_largest_response_fits_slow_link():
     # Sixty hosts ask within a second for a configuration of 1,400 routes, some over a
     # link of 5 Mbit/s that callers use too.
-    told = beliefs(MANY_ROUTES, MANY_ENDPOINTS)
-    data = SyncResponseEncoder().encode(told)
-    assert len(data) < WEAK_LINK_BYTES
-    assert decode_sync_response("host-2", data) == told
+    response = sync_response(MANY_ROUTES, MANY_ENDPOINTS)
+    data = SyncResponseEncoder().encode(response)
+    assert len(data) < SLOW_LINK_BYTES
+    assert decode_sync_response("host-2", data) == response
 
 
-def test_what_was_packed_for_one_host_serves_the_next_and_no_other_version():
+def test_compressed_configuration_is_cached_per_version():
     encoder = SyncResponseEncoder()
-    first = beliefs(2)
+    first = sync_response(2)
     assert decode_sync_response("a", encoder.encode(first)) == first
     assert decode_sync_response("a", encoder.encode(first)) == first
-    newer = first.configuration._replace(revision=6, content=configuration(8, ANY))
+    newer = first.configuration._replace(
+        revision=6, content=configuration(8, IDEMPOTENT_ROUTE)
+    )
     second = first._replace(configuration=newer)
     assert decode_sync_response("a", encoder.encode(second)) == second
 
 
-@pytest.mark.parametrize("kept_part", [0.0, 0.3, 0.99])
-def test_part_of_an_answer_is_refused_whole(kept_part):
+@pytest.mark.parametrize("kept_fraction", [0.0, 0.3, 0.99])
+def test_truncated_response_is_rejected(kept_fraction):
     # A peer is killed in the middle of its answer, and the connection ends as a whole
     # one would. Half a list would drop the endpoints of its other half.
-    data = SyncResponseEncoder().encode(beliefs(50, 50))
+    data = SyncResponseEncoder().encode(sync_response(50, 50))
     with pytest.raises(DecodeError):
-        decode_sync_response("host-2", data[: int(len(data) * kept_part)])
+        decode_sync_response("host-2", data[: int(len(data) * kept_fraction)])
 
 
-def test_few_bytes_that_unpack_to_very_many_are_refused():
+def test_decompression_bomb_is_rejected():
     # A host of 200 MB that unpacks whatever it is sent is killed by one bad answer.
     content = {"version": 7, "padding": "0" * 50_000_000}
-    told = beliefs()._replace(configuration=StoredObject("main", 5, content, None))
+    response = sync_response()._replace(
+        configuration=StoredObject("main", 5, content, None)
+    )
     with pytest.raises(DecodeError):
-        decode_sync_response("host-2", SyncResponseEncoder().encode(told))
+        decode_sync_response("host-2", SyncResponseEncoder().encode(response))
 
 
-def test_a_body_over_the_limit_is_left_unread():
+def test_body_over_limit_is_not_read():
     # A peer of another release, or none of ours, answers without an end.
     async def endless(reader, writer):
         await reader.readuntil(b"\r\n\r\n")
@@ -192,11 +216,16 @@
     async def scenario():
         server = await asyncio.start_server(endless, "127.0.0.1", 0)
         port = server.sockets[0].getsockname()[1]
-        async with host_without_store() as two:
-            store, link, context, lines = two.store, two.link, two.context, two.lines
+        async with host_without_store() as hosts:
+            store, link, context, lines = (
+                hosts.store,
+                hosts.link,
+                hosts.context,
+                hosts.lines,
+            )
             link.target = f"127.0.0.1:{port}"
             link.reset()
-            store.put("config", "main", configuration(2, ANY))
+            store.put("config", "main", configuration(2, IDEMPOTENT_ROUTE))
             await until(lambda: "peer_not_heard" in [event for event, _ in lines])
             fields = dict(lines)["peer_not_heard"]
             assert "over" in fields["error"]
--- a/libs/entry/tests/test_prefix_cache_recovery.py
+++ b/libs/entry/tests/test_prefix_cache_recovery.py
@@ -9,7 +9,7 @@
 
 ENGINES = 59
 # When a host that has just started has heard of the others, in seconds.
-HEARD_S = 0.4
+PEERS_KNOWN_S = 0.4
 
 
 class StartingHost:
@@ -32,7 +32,7 @@
 
     def is_active(self):
         """Take itself for active until it has heard of the others."""
-        has_heard = self.clock() - self.began_s > HEARD_S
+        has_heard = self.clock() - self.began_s > PEERS_KNOWN_S
         return self._stays_active or not has_heard
 
     def spawn(self, coroutine):
@@ -54,11 +54,11 @@
     return asyncio.run(scenario())
 
 
-def test_hosts_to_which_no_callers_are_sent_ask_no_engine():
+def test_inactive_host_asks_no_engine():
     """After the loss of all hosts each of them asked every engine for its list."""
     assert asked_within(1.2, is_active=False) == 0
 
 
-def test_a_host_to_which_callers_are_sent_asks_each_engine_once():
+def test_active_host_asks_each_engine_once():
     """A host that knows nothing of the engines' caches has all parts read again."""
     assert asked_within(1.2, is_active=True) == ENGINES
--- a/libs/entry/tests/test_registration.py
+++ b/libs/entry/tests/test_registration.py
@@ -51,9 +51,9 @@
     )
 
 
-async def start_and_settle(store, context):
+async def start_until_idle(store, context):
     """Start a registration, and let it do all that needs no waiting."""
-    context.draw = lambda: 0.5
+    context.draw_uniform = lambda: 0.5
     context.spawn = asyncio.ensure_future
     task = asyncio.ensure_future(Registration(context, store)._run())
     for _ in range(20):
@@ -61,21 +61,21 @@
     task.cancel()
 
 
-def test_hosts_that_all_start_again_do_not_write_records_that_stand():
+def test_restarting_hosts_do_not_rewrite_existing_records():
     """After the loss of all hosts each called the store three times for its record."""
     store = RecordStore("host-2")
     store.records["host-1"] = {"ip": "10.0.0.1", "zone": "a"}
     store.create = store.replace = None
     _, context = create_context()
-    asyncio.run(start_and_settle(store, context))
+    asyncio.run(start_until_idle(store, context))
     assert list(context.hosts.addresses()) == ["host-2"]
 
 
-def test_a_host_at_a_new_address_writes_its_record_anew():
+def test_host_at_new_address_rewrites_its_record():
     """A host came back elsewhere, and its peers went on calling its old address."""
     store = RecordStore("host-1")
     _, context = create_context()
-    asyncio.run(start_and_settle(store, context))
+    asyncio.run(start_until_idle(store, context))
     assert store.records["host-1"]["ip"] == "10.0.0.1"
 
 
@@ -88,7 +88,7 @@
     asyncio.run(run())
 
 
-def test_the_record_of_a_host_that_is_gone_is_deleted_by_a_host_that_watches():
+def test_record_of_lost_host_is_deleted_by_watching_host():
     """Records of replaced hosts stay for ever, and every host goes on calling them."""
     store = RecordStore("host-1", "host-2")
     clock, context = create_context()
@@ -102,7 +102,7 @@
     assert not context.hosts.addresses()
 
 
-def test_a_host_that_does_not_watch_leaves_the_records_alone():
+def test_host_without_watch_deletes_no_records():
     """Three hundred hosts each delete the same record, at the store's expense."""
     store = RecordStore("host-1", "host-2")
     clock, context = create_context(is_watcher=False)
@@ -112,7 +112,7 @@
     assert "host-2" in store.records
 
 
-def test_hosts_that_never_speak_to_each_other_stay_known_by_their_records():
+def test_hosts_without_direct_updates_stay_known_by_records():
     """Callers find too few hosts after the loss of those that they were sent to.
 
     The other hosts speak to the active ones only. Each minute they forgot each other,
@@ -130,7 +130,7 @@
     assert list(context.hosts.addresses()) == ["host-2"]
 
 
-def test_a_host_that_begins_to_watch_listens_before_it_deletes_records():
+def test_new_watcher_waits_before_it_deletes_records():
     """The active hosts are lost, and the next one deletes the records of all others.
 
     They have not spoken to it for hours, since it was not active.
@@ -148,7 +148,7 @@
     assert list(store.records) == ["host-1"]
 
 
-def test_a_host_that_was_taken_for_gone_writes_its_record_again():
+def test_host_with_deleted_record_writes_it_again():
     """A host is cut off for a minute, and nobody ever speaks to it again.
 
     The others have deleted its record meanwhile; it wrote that at its start only.
--- a/libs/entry/tests/test_retry_budget.py
+++ b/libs/entry/tests/test_retry_budget.py
@@ -5,9 +5,9 @@
 
 import pytest
 from host_harness import (
+    AT_MOST_ONCE_ROUTE,
     BOUNDS,
-    ONCE,
-    STREAM,
+    STREAM_ROUTE,
     HostHarness,
     configuration,
     entry,
@@ -29,17 +29,17 @@
 HOSTS = 7
 
 
-async def make_engines(world, *stages, route=STREAM):
+async def make_engines(harness, *stages, route=STREAM_ROUTE):
     """Have the endpoints be engines with these stages."""
     content = configuration(2, route)
     content["services"][0]["engine"] = {"slots": 8}
-    world.store.put("config", "main", content)
-    states = world.host.context.endpoints.states
+    harness.store.put("config", "main", content)
+    states = harness.host.context.endpoints.states
     for number, stage in enumerate(stages):
         address = states[f"e-{number}"].record.address
         fields = entry(address, stage=stage, beat=9)
-        world.store.put("servers", f"e-{number}", fields)
-    await until(lambda: world.host.context.configuration_version == 2)
+        harness.store.put("servers", f"e-{number}", fields)
+    await until(lambda: harness.host.context.configuration_version == 2)
     wanted = list(stages)
     await until(lambda: [s.record.stage for s in states.values()] == wanted)
 
@@ -48,17 +48,17 @@
     """Engines rejected prefills, and each run after one came on top of the budget."""
 
     async def scenario():
-        async with HostHarness(*[not_run] * 4, routes=(STREAM,)) as world:
-            await make_engines(world, "prefill", "prefill", "decode", "decode")
-            world.host.context.started_s -= 100.0
+        async with HostHarness(*[not_run] * 4, routes=(STREAM_ROUTE,)) as harness:
+            await make_engines(harness, "prefill", "prefill", "decode", "decode")
+            harness.host.context.started_s -= 100.0
             for number in range(REQUESTS):
-                await world.ask(
+                await harness.ask(
                     method="POST",
                     request_id=f"r-{number}",
                     **{"X-Gypsumusher-Token-Count": "30000,4"},
                 )
             arrivals = Counter()
-            for endpoint in world.endpoints:
+            for endpoint in harness.endpoints:
                 arrivals.update(request_id_of(head) for head, _ in endpoint.requests)
             repeats = sum(count - 1 for count in arrivals.values())
             allowed = BOUNDS.retry_ratio * REQUESTS + BOUNDS.retry_slack
@@ -67,10 +67,10 @@
     run(scenario())
 
 
-def test_a_late_engine_is_not_left_without_a_retry_to_go_on_with():
+def test_late_engine_is_kept_when_no_retry_is_left():
     """A prompt was given up while it was read, and its request refused."""
 
-    async def reads_late(number, head, body, writer):
+    async def prefills_late(number, head, body, writer):
         await asyncio.sleep(0.3)
         prefilled = b'{"handle": "h", "tokens": 30000, "version": 1}'
         writer.write(answer_to(request_id_of(head), prefilled))
@@ -79,15 +79,15 @@
         writer.write(answer_to(request_id_of(head), b"id: 0\ndata: x\n\n"))
 
     async def scenario():
-        route = {**STREAM, "timeout_ms": 7000, "goal_ms": 1500}
-        async with HostHarness(reads_late, streams, routes=(route,)) as world:
-            await make_engines(world, "prefill", "decode", route=route)
-            context = world.host.context
+        route = {**STREAM_ROUTE, "timeout_ms": 7000, "goal_ms": 1500}
+        async with HostHarness(prefills_late, streams, routes=(route,)) as harness:
+            await make_engines(harness, "prefill", "decode", route=route)
+            context = harness.host.context
             # Its share of the retries is empty as after a start.
             context.started_s = context.clock()
-            learnt = context.learnt("svc")
-            learnt.prefill_timeout_s = lambda stage, expected_s: 0.2
-            status, _, _ = await world.ask(
+            cost_model = context.cost_model("svc")
+            cost_model.prefill_timeout_s = lambda stage, expected_s: 0.2
+            status, _, _ = await harness.ask(
                 method="POST",
                 **{
                     "X-Gypsumusher-Token-Count": "30000,4",
@@ -95,19 +95,19 @@
                 },
             )
             assert status == 200
-            events = [event for event, _ in world.log_lines]
+            events = [event for event, _ in harness.log_lines]
             assert "retry_withheld" in events and "send_failed" not in events
 
     run(scenario())
 
 
-def test_a_wait_that_ends_with_its_caller_takes_no_retry():
+def test_wait_ending_at_its_limit_takes_no_retry():
     """A wait was over and left its engine at the same moment, and a retry was lost."""
 
     async def scenario():
-        async with HostHarness(not_run, routes=(STREAM,)) as world:
-            exchange = Exchange(world.host.context, None, None)
-            exchange.route = world.host.context.configuration.routes[0]
+        async with HostHarness(not_run, routes=(STREAM_ROUTE,)) as harness:
+            exchange = Exchange(harness.host.context, None, None)
+            exchange.route = harness.host.context.configuration.routes[0]
             reserved = []
             exchange.try_reserve_send = lambda: reserved.append(1)
             with pytest.raises(TimeoutError):
@@ -119,17 +119,19 @@
     run(scenario())
 
 
-def test_a_connection_that_is_refused_takes_no_retry():
+def test_refused_connection_takes_no_retry():
     """An endpoint was down, and its refused connections used up the retries."""
 
     async def scenario():
-        async with HostHarness(not_run, not_run, routes=(ONCE,)) as world:
-            for endpoint in world.endpoints:
+        async with HostHarness(
+            not_run, not_run, routes=(AT_MOST_ONCE_ROUTE,)
+        ) as harness:
+            for endpoint in harness.endpoints:
                 await endpoint.close()
-            status, headers, _ = await world.ask(method="POST")
+            status, headers, _ = await harness.ask(method="POST")
             assert status == 503
             assert float(headers["Retry-After"]) > 0
-            events = [event for event, _ in world.log_lines]
+            events = [event for event, _ in harness.log_lines]
             assert events.count("send_failed") == 2
             assert "retry_taken" not in events and "retry_withheld" not in events
 
@@ -147,7 +149,7 @@
             Metrics(),
         )
 
-    def hear(self, now_s, number):
+    def receive_update(self, now_s, number):
         self.context.hosts.on_record(now_s, f"host-{number}", f"127.0.0.{number + 1}")
         self.context.hosts.on_status(
             now_s,
@@ -158,14 +160,14 @@
         )  # fmt: skip
 
 
-def hosts_that_heard_each_other(heard_s, now_s):
+def create_hosts(received_s, now_s):
     """Return seven hosts that started at 0 s and heard of each other at a time."""
     times_s = [0.0]
     hosts = [Host(number, lambda: times_s[0]) for number in range(HOSTS)]
     times_s[0] = now_s
     for host in hosts:
         for number in range(HOSTS):
-            host.hear(heard_s, number)
+            host.receive_update(received_s, number)
     return hosts
 
 
@@ -178,27 +180,27 @@
     return retries
 
 
-def test_hosts_that_hear_nobody_keep_to_the_budget_together():
+def test_isolated_hosts_stay_within_common_budget():
     """Hosts that were cut off from each other each took the retries of all."""
-    hosts = hosts_that_heard_each_other(heard_s=0.0, now_s=30.0)
+    hosts = create_hosts(received_s=0.0, now_s=30.0)
     assert not any(host.context.active_hosts() for host in hosts)
     assert 0 < retries_of(hosts) <= BOUNDS.retry_slack
 
 
-def test_hosts_of_which_a_part_takes_callers_keep_to_the_budget_together():
+def test_partly_active_hosts_stay_within_common_budget():
     """Four of seven hosts were active, and each of the seven took a fourth."""
-    hosts = hosts_that_heard_each_other(heard_s=30.0, now_s=30.0)
+    hosts = create_hosts(received_s=30.0, now_s=30.0)
     assert {len(host.context.active_hosts()) for host in hosts} == {4}
     assert 0 < retries_of(hosts) <= BOUNDS.retry_slack
 
 
-def test_hosts_that_hear_nobody_leave_connections_to_the_others():
+def test_isolated_hosts_share_endpoint_connections():
     """Each of four hosts that were cut off opened nearly all that an endpoint takes."""
-    content = decode_configuration(configuration(1, ONCE))
+    content = decode_configuration(configuration(1, AT_MOST_ONCE_ROUTE))
     sums = []
-    for heard_s in (30.0, 0.0):
-        hosts = hosts_that_heard_each_other(heard_s, now_s=30.0)[:4]
+    for received_s in (30.0, 0.0):
+        hosts = create_hosts(received_s, now_s=30.0)[:4]
         for host in hosts:
-            host.context.adopt(content, None, "test")
-        sums.append(sum(host.context.connections_max("svc") for host in hosts))
+            host.context.apply_configuration(content, None, "test")
+        sums.append(sum(host.context.connection_limit("svc") for host in hosts))
     assert sums[0] == sums[1] <= content.services["svc"].max_connections
--- a/libs/entry/tests/test_shared_ticks.py
+++ b/libs/entry/tests/test_shared_ticks.py
@@ -21,7 +21,7 @@
 
         async def wake(delay_s):
             await asyncio.sleep(delay_s)
-            await context.next_tick(PERIOD_S)
+            await context.wait_for_tick(PERIOD_S)
             woken_s.append(clock())
 
         # Begun over half of a period, some before a tick and some behind it.
--- a/libs/entry/tests/test_stage_orders.py
+++ b/libs/entry/tests/test_stage_orders.py
@@ -3,7 +3,7 @@
 import asyncio
 import json
 
-from host_harness import STREAM, HostHarness, configuration, entry, run, until
+from host_harness import STREAM_ROUTE, HostHarness, configuration, entry, run, until
 from replies import answer_to
 
 
@@ -16,9 +16,9 @@
         Whether it answers orders; it carries them out in any case.
     """
 
-    def __init__(self, stage, answers=True):
+    def __init__(self, stage, responds_to_orders=True):
         self.stage = stage
-        self.answers = answers
+        self.responds_to_orders = responds_to_orders
         self.order_count = 3
         self.orders = []
 
@@ -37,21 +37,21 @@
             return
         self.order_count += 1
         self.stage = order["stage"]
-        if self.answers:
+        if self.responds_to_orders:
             writer.write(answer_to("", b"", "202 Accepted"))
         else:
             await asyncio.Event().wait()
 
 
-async def make_readers_only(world):
+async def make_all_prefill(harness):
     """Have all engines read prompts only, as after the loss of the others."""
-    content = configuration(2, STREAM)
+    content = configuration(2, STREAM_ROUTE)
     content["services"][0]["engine"] = {"slots": 8, "switch_s": 2.5}
-    world.store.put("config", "main", content)
-    states = world.host.context.endpoints.states
+    harness.store.put("config", "main", content)
+    states = harness.host.context.endpoints.states
     for name, state in list(states.items()):
         address = state.record.address
-        world.store.put("servers", name, entry(address, stage="prefill", beat=9))
+        harness.store.put("servers", name, entry(address, stage="prefill", beat=9))
     await until(lambda: all(s.record.stage == "prefill" for s in states.values()))
 
 
@@ -59,22 +59,24 @@
     return [order for engine in engines for order in engine.orders]
 
 
-def test_a_stage_that_is_missing_is_ordered_once_with_authority():
+def test_missing_stage_is_ordered_once_under_lease():
     # The last engine that made tokens left. Until another one does, every request of a
     # model is refused, and told when to come back.
     engines = [Engine("prefill"), Engine("prefill")]
 
     async def scenario():
-        async with HostHarness(*engines, routes=(STREAM,)) as world:
-            await make_readers_only(world)
-            status, headers, _ = await world.ask(
+        async with HostHarness(*engines, routes=(STREAM_ROUTE,)) as harness:
+            await make_all_prefill(harness)
+            status, headers, _ = await harness.ask(
                 method="POST", **{"X-Gypsumusher-Token-Count": "3000,4"}
             )
             assert status == 503
             assert float(headers["Retry-After"]) == 2.5
-            context = world.host.context
+            context = harness.host.context
             await until(lambda: any(s.stage == "decode" for s in states(context)))
-            await until(lambda: "stage_order_ended" in [e for e, _ in world.log_lines])
+            await until(
+                lambda: "stage_order_ended" in [e for e, _ in harness.log_lines]
+            )
             assert all(state.is_usable for state in states(context))
 
     def states(context):
@@ -89,23 +91,28 @@
     assert b"X-Gypsumusher-Expect-Instance: e-" in head
 
 
-def test_an_order_without_an_answer_takes_effect_once():
+def test_order_with_lost_response_takes_effect_once():
     # The engine carries the order out and its answer is lost. The host finds the new
     # stage in the engine's report, and orders nothing twice.
-    engines = [Engine("prefill", answers=False), Engine("prefill", answers=False)]
+    engines = [
+        Engine("prefill", responds_to_orders=False),
+        Engine("prefill", responds_to_orders=False),
+    ]
 
     async def scenario():
-        async with HostHarness(*engines, routes=(STREAM,)) as world:
-            await make_readers_only(world)
-            await until(lambda: "stage_order_ended" in [e for e, _ in world.log_lines])
-            fields = dict(world.log_lines)["stage_order_ended"]
+        async with HostHarness(*engines, routes=(STREAM_ROUTE,)) as harness:
+            await make_all_prefill(harness)
+            await until(
+                lambda: "stage_order_ended" in [e for e, _ in harness.log_lines]
+            )
+            fields = dict(harness.log_lines)["stage_order_ended"]
             assert fields["outcome"] == "done"
 
     run(scenario())
     assert len(orders_of(engines)) == 1
 
 
-def test_a_host_without_the_lease_orders_nothing():
+def test_host_without_lease_orders_nothing():
     # Another host took the lease, and this one doesn't hear it. Both see that a stage
     # is missing; two that order at once would undo each other's changes.
     engines = [Engine("prefill"), Engine("prefill")]
@@ -113,10 +120,10 @@
     held |= {"duration_s": 60.0, "released": False, "nonce": "n", "open_terms": []}
 
     async def scenario():
-        world = HostHarness(*engines, routes=(STREAM,))
-        world.store.put("leases", "stages", held)
-        async with world:
-            await make_readers_only(world)
+        harness = HostHarness(*engines, routes=(STREAM_ROUTE,))
+        harness.store.put("leases", "stages", held)
+        async with harness:
+            await make_all_prefill(harness)
             await asyncio.sleep(2.0)
 
     run(scenario())
--- a/libs/entry/tests/test_stall_monitor.py
+++ b/libs/entry/tests/test_stall_monitor.py
@@ -7,7 +7,7 @@
 from gypsumusher_routing import EndpointState
 
 
-class Watched:
+class MonitoredEndpoint:
     """One endpoint, with a wait that is overdue after a second."""
 
     def __init__(self):
@@ -15,22 +15,22 @@
             "e-0", 1, "llm", "10.0.0.1:80", "a", 64, False, 0.0, "prefill", 1
         )
         self.state = EndpointState(record)
-        self.watch = StallMonitor(
+        self.monitor = StallMonitor(
             lambda: 0.0, lambda *args, **fields: None, asyncio.sleep
         )
-        self.watch.begin("r-1", self.state, 1.0)
+        self.monitor.begin("r-1", self.state, 1.0)
 
     def is_avoided(self, now_s):
-        self.watch.look(now_s)
+        self.monitor.check(now_s)
         return self.state.health.is_avoided(now_s)
 
 
-def test_an_engine_that_reads_what_others_sent_first_is_not_silent():
+def test_engine_busy_with_other_prefills_is_not_silent():
     # Under a burst a late prompt waits for two seconds while timely ones are read. The
     # engine was taken for silent, and left; its load then pressed on those that were
     # left, until no engine counted as well.
-    watched = Watched()
-    watched.state.on_answer_bytes(1.9)
-    assert not watched.is_avoided(2.0)
+    monitored = MonitoredEndpoint()
+    monitored.state.on_answer_bytes(1.9)
+    assert not monitored.is_avoided(2.0)
     # With nothing at all from it, it is left.
-    assert watched.is_avoided(3.5)
+    assert monitored.is_avoided(3.5)
--- a/libs/entry/tests/test_store_calls.py
+++ b/libs/entry/tests/test_store_calls.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from host_harness import ANY, configuration, entry, run, settings, until
+from host_harness import IDEMPOTENT_ROUTE, configuration, entry, run, settings, until
 from processes import free_ports
 
 from gypsumusher_entry import store_watcher
@@ -14,11 +14,11 @@
 WATCHERS = 3
 # Watches of the configuration that are renewed meanwhile, and a change that two
 # answers tell of.
-SPARE_CALLS = 12
-HEARD_ON_ONE_MACHINE_S = 2.5
+EXTRA_CALLS = 12
+PEERS_KNOWN_ON_ONE_MACHINE_S = 2.5
 
 
-class Fleet:
+class HostGroup:
     """Eight hosts in one process, before one store."""
 
     def __init__(self):
@@ -29,13 +29,13 @@
     async def __aenter__(self):
         self.store.put("servers", "e-0", entry("127.0.0.1:9"))
         await self.start()
-        await self.until_few_watch()
+        await self.until_watchers_agreed()
         return self
 
     async def start(self):
         """Start all hosts at once."""
         address = await self.store.start()
-        self.store.put("config", "main", configuration(1, ANY))
+        self.store.put("config", "main", configuration(1, IDEMPOTENT_ROUTE))
         port = free_ports("127.0.0.2", 1)[0]
         for number in range(HOSTS):
             ip = f"127.0.0.{2 + number}"
@@ -49,7 +49,7 @@
         await asyncio.gather(*(host.close() for host in self.hosts))
         await self.store.close()
 
-    async def until_few_watch(self):
+    async def until_watchers_agreed(self):
         """Wait until the hosts agree on who watches, and the others have stopped."""
         contexts = [host.context for host in self.hosts]
 
@@ -62,7 +62,9 @@
         # that has heard that others watch.
         while sum(context.sees_store for context in contexts) != WATCHERS:
             self.changes += 1
-            self.store.put("config", "main", configuration(1 + self.changes, ANY))
+            self.store.put(
+                "config", "main", configuration(1 + self.changes, IDEMPOTENT_ROUTE)
+            )
             address = "127.0.0.1:8"
             self.store.put("servers", "e-1", entry(address, beat=self.changes))
             await asyncio.sleep(0.1)
@@ -76,7 +78,7 @@
         calls = self.store.calls[before:]
         return sum(path.endswith("/servers") for _, path in calls)
 
-    async def until_heard(self):
+    async def until_endpoints_known(self):
         """Wait until every host knows of both endpoints."""
         await until(
             lambda: all(len(h.context.endpoints.states) == 2 for h in self.hosts)
@@ -87,10 +89,10 @@
     """Each change of an endpoint is read by every host, at the store's expense."""
 
     async def scenario():
-        async with Fleet() as fleet:
-            calls = await fleet.calls_for_changes()
-            assert calls <= WATCHERS * CHANGES + SPARE_CALLS
-            await fleet.until_heard()
+        async with HostGroup() as group:
+            calls = await group.calls_for_changes()
+            assert calls <= WATCHERS * CHANGES + EXTRA_CALLS
+            await group.until_endpoints_known()
 
     run(scenario())
 
@@ -99,27 +101,29 @@
     """At the first start each of hundreds of hosts watched an empty list."""
     # Eight hosts on one busy machine may hear of each other later than hosts of their
     # own do, and one that has heard of none rightly watches.
-    monkeypatch.setattr(store_watcher, "HEARD_AFTER_S", HEARD_ON_ONE_MACHINE_S)
+    monkeypatch.setattr(
+        store_watcher, "PEERS_KNOWN_AFTER_S", PEERS_KNOWN_ON_ONE_MACHINE_S
+    )
 
     async def scenario():
-        fleet = Fleet()
+        group = HostGroup()
         try:
-            await fleet.start()
+            await group.start()
             # The others have decided by now whether they watch.
-            await asyncio.sleep(HEARD_ON_ONE_MACHINE_S)
-            calls = [path for _, path in fleet.store.calls if path.endswith("/servers")]
+            await asyncio.sleep(PEERS_KNOWN_ON_ONE_MACHINE_S)
+            calls = [path for _, path in group.store.calls if path.endswith("/servers")]
             # Each lists them once.
             assert len(calls) <= HOSTS + WATCHERS
-            fleet.store.put("servers", "e-0", entry("127.0.0.1:9"))
-            fleet.store.put("servers", "e-1", entry("127.0.0.1:8"))
-            await fleet.until_heard()
+            group.store.put("servers", "e-0", entry("127.0.0.1:9"))
+            group.store.put("servers", "e-1", entry("127.0.0.1:8"))
+            await group.until_endpoints_known()
         finally:
-            await fleet.__aexit__()
+            await group.__aexit__()
 
     run(scenario())
 
 
-def test_a_store_that_returns_is_watched_by_few_hosts_at_once():
+def test_returning_store_is_watched_by_few_hosts():
     """After an outage all hosts read each entry that comes back.
 
     Entries that lapsed come back one by one within two seconds. For that long no host
@@ -127,17 +131,17 @@
     """
 
     async def scenario():
-        async with Fleet() as fleet:
-            fleet.store.fault = "refuse"
-            fleet.store.forget_history()
-            await until(lambda: not any(h.context.sees_store for h in fleet.hosts))
-            fleet.store.fault = ""
-            fleet.store.forget_history()
-            await fleet.until_few_watch()
-            contexts = [host.context for host in fleet.hosts]
+        async with HostGroup() as group:
+            group.store.fault = "refuse"
+            group.store.forget_history()
+            await until(lambda: not any(h.context.sees_store for h in group.hosts))
+            group.store.fault = ""
+            group.store.forget_history()
+            await group.until_watchers_agreed()
+            contexts = [host.context for host in group.hosts]
             assert any(c.endpoints.is_in_grace_period(c.clock()) for c in contexts)
-            calls = await fleet.calls_for_changes()
-            assert calls <= WATCHERS * CHANGES + SPARE_CALLS
-            await fleet.until_heard()
+            calls = await group.calls_for_changes()
+            assert calls <= WATCHERS * CHANGES + EXTRA_CALLS
+            await group.until_endpoints_known()
 
     run(scenario())
