--- a/libs/entry/gypsumusher_entry/context.py
+++ b/libs/entry/gypsumusher_entry/context.py
@@ -1,4 +1,4 @@
-"""What the exchanges with callers share: beliefs, connections, counts, the log."""
+"""Shared state of one entry host: settings, cluster state, connections and metrics."""
 
 import asyncio
 import random
@@ -27,35 +27,37 @@
 __all__ = ["Context"]
 
 
-# For how long callers keep the list of hosts, in seconds. A stop waits for three times
-# as long, and a dead host is tried for that long; each caller asks once in this time.
+# Time for which callers cache the list of hosts. A planned stop waits three times as
+# long, and callers try a dead host for as long; each caller asks for the list once per
+# TTL.
 DIRECTORY_TTL_S = 1.0
-# A connection within a region opens in a few milliseconds; an opening packet that is
-# lost is sent again after a second, and another endpoint answers sooner than that.
+# A connection within a region opens in a few milliseconds. A lost SYN is sent again
+# after 1 s only, and another endpoint answers sooner than that.
 CONNECT_TIMEOUT_S = 0.35
-# Part of an endpoint's connections that all hosts together use: they don't agree on
-# their number at each moment, and a connection too many is reset.
+# Fraction of an endpoint's connection limit that all hosts together use. Hosts may
+# disagree for a moment on how many they are, and the endpoint resets connections above
+# its limit.
 USED_CONNECTIONS_FRACTION = 0.9
-# The active hosts are chosen anew this often, in seconds: a host is silent for longer
-# before it counts as dead, and the choice costs a sort of all hosts.
+# How long a choice of the active hosts is reused. Choosing sorts all hosts, and a host
+# has to be silent for longer than this before it counts as dead.
 ACTIVE_HOSTS_CACHE_S = 0.2
 
 
 class Context:
-    """The state that one entry host's parts work on.
+    """State shared by the components of one entry host.
 
     Parameters
     ----------
     settings : HostSettings
         Settings of the process.
     clock : callable
-        Steady clock in seconds.
+        Monotonic clock in seconds.
     log : callable
         ``log(level, event, **fields)``.
     metrics : Metrics
         Counters and histograms.
     policy : Policy
-        Which mechanisms decide.
+        Routing mechanisms that are switched on.
     """
 
     def __init__(self, settings, clock, log, metrics, policy=ALL_ON):
@@ -76,9 +78,9 @@
             clock, decode_response_head, CONNECT_TIMEOUT_S
         )
         self.stall_monitor = StallMonitor(clock, log, self.wait_for_tick)
-        # Engines that this host has ordered to change their stage, for the peers.
+        # Stage orders of this host that gossip announces to the other hosts.
         self.ordered_stages = []
-        # What is known of the lease for such orders; None until it is sought.
+        # `StageLease`, or None until the host has started to compete for the lease.
         self.stage_lease = None
         self.is_draining = False
         self._store_reachable_since_s = None
@@ -86,9 +88,9 @@
         self._active_hosts = []
         self._active_hosts_chosen_s = float("-inf")
         self.configuration_listeners = []
-        # Called when a prompt is about to be sent to an engine.
+        # Called right before a prompt is sent to an engine for prefill.
         self.prefill_listeners = []
-        # So that hosts that start together don't all wake at the same moments.
+        # Random offset: hosts that start together must not wake at the same moments.
         self._tick_offset_s = self.draw_uniform()
         self._retry_budgets = {}
         self._cost_models = {}
@@ -97,7 +99,7 @@
 
     @property
     def is_ready(self):
-        """Whether this host takes callers."""
+        """Whether this host accepts requests of callers."""
         return not self.is_draining and self.configuration is not None
 
     @property
@@ -114,24 +116,24 @@
 
     @property
     def store_reachable_s(self):
-        """For how long the store has answered this host, in seconds."""
+        """Time since the store last began to answer this host, in seconds."""
         since_s = self._store_reachable_since_s
         return 0.0 if since_s is None else self.clock() - since_s
 
     @property
     def configuration_version(self):
-        """Version in force, 0 without one."""
+        """Version of the configuration in force, 0 without one."""
         return 0 if self.configuration is None else self.configuration.version
 
     def own_status(self, sequence=0, period_s=0.0):
-        """Return what this host says of itself.
+        """Return this host's status, as sent to the other hosts.
 
         Parameters
         ----------
-        beat : int
-            Number of the message.
+        sequence : int
+            Sequence number of the message.
         period_s : float
-            After how long the next one comes at the latest, in seconds.
+            Longest time until the next message, in seconds.
         """
         settings = self.settings
         return HostStatus(
@@ -153,13 +155,13 @@
         )
 
     def active_hosts(self):
-        """Return the hosts that callers are sent to, in their common order."""
+        """Return the hosts named by the directory, in an order common to all hosts."""
         now_s = self.clock()
         if now_s - self._active_hosts_chosen_s > ACTIVE_HOSTS_CACHE_S:
             hosts = [host for host in self.hosts.live(now_s) if host.is_ready]
             if self.is_ready:
                 hosts.append(self.own_status())
-            # One more than those that it knows: itself.
+            # This host itself isn't in the host table.
             self._active_hosts = choose_active_hosts(
                 hosts, len(self.hosts.addresses()) + 1
             )
@@ -167,14 +169,15 @@
         return self._active_hosts
 
     def is_active(self):
-        """Say whether callers are sent to this host."""
+        """Return whether the directory names this host to callers."""
         name = self.settings.name
         return any(host.name == name for host in self.active_hosts())
 
     def watches_store(self):
-        """Say whether this host is one that watches the store for all.
+        """Return whether this host is one of the few that watch the store for all.
 
-        A host that hears of none that sees the store looks for itself.
+        A host also watches the store itself when no peer reports that it sees the
+        store.
         """
         active = self.active_hosts()
         watchers = choose_watchers(active)
@@ -184,9 +187,10 @@
         return not any(host.sees_store for host in self.hosts.live(now_s))
 
     def should_order_stages(self):
-        """Say whether this host is the one that orders engines' stages.
+        """Return whether this host is the one that should hold the stage-order lease.
 
-        Hosts that don't hear each other may both think so; the lease decides then.
+        Hosts that don't receive each other's updates may both be; the lease then
+        decides.
         """
         for host in self.active_hosts():
             if host.sees_store:
@@ -194,33 +198,34 @@
         return False
 
     def expected_host_count(self):
-        """Return the number of hosts that share the work, this one among them.
+        """Return the number of hosts that share the load, this one included.
 
-        Those that this host doesn't hear may be at work all the same.
+        Hosts that are on record but silent are counted, since they may still be
+        serving.
         """
         expected = active_host_count(self.hosts.existing_count())
         return max(1, len(self.active_hosts()), expected)
 
     def apply_configuration(self, configuration, stored, source):
-        """Put a configuration in force, unless it is older than the one that is.
+        """Put a configuration in force, unless it is older than the one in force.
 
-        Failure guarded against: a late answer or a peer that lags would bring back
-        routes that are gone; it shows as requests run by a service that no longer
-        takes them. Versions only grow, so the older one is passed over.
+        A late response of the store or a peer that lags would otherwise bring back
+        removed routes, and services would run requests that they no longer accept.
+        Versions only grow, so an older one is ignored.
 
         Parameters
         ----------
         configuration : Configuration
-            The decoded form.
+            The decoded configuration.
         stored : StoredObject
-            What it was decoded from, for peers that can't read the store.
+            The stored form, for peers that can't read the store.
         source : str
-            Who told of it.
+            Name of the peer that sent it, or ``store``.
 
         Returns
         -------
         bool
-            Whether it is in force now and wasn't before.
+            Whether the configuration was put in force by this call.
         """
         if configuration.version <= self.configuration_version:
             return False
@@ -247,11 +252,11 @@
         return True
 
     def directory_ttl_s(self):
-        """Return for how long callers may keep the list of hosts, in seconds."""
+        """Return the time for which callers may cache the list of hosts, in seconds."""
         return min(DIRECTORY_TTL_S, self.settings.bounds.directory_ttl_max_s)
 
     def retry_budget(self, service):
-        """Return this host's share of the retries of a service."""
+        """Return this host's share of the retry budget of a service."""
         budget = self._retry_budgets.get(service)
         if budget is None:
             bounds = self.settings.bounds
@@ -264,22 +269,22 @@
         return budget
 
     def cost_model(self, service):
-        """Return what the engines of a service have taught this host."""
+        """Return the cost model that this host has fitted to a service's engines."""
         if service not in self._cost_models:
             self._cost_models[service] = CostModel(self.policy)
         return self._cost_models[service]
 
     def engine_pool(self, service, limits, states=None):
-        """Return the engines that a request may use now.
+        """Return the engines of a service that a request may use now.
 
         Parameters
         ----------
         service : str
-            The service.
+            Name of the service.
         limits : EngineLimits
-            What its engines have in common.
+            Limits that all engines of the service have in common.
         states : list of EndpointState or None
-            Engines to choose from; all usable ones by default.
+            Engines to choose from; by default all usable ones.
         """
         if states is None:
             states = self.endpoints.of_service(service)
@@ -288,28 +293,29 @@
         return EnginePool(states, limits, cost_model, zone, connections, self.policy)
 
     def take_retry(self, service):
-        """Use one retry of a service, unless this host's share is spent.
+        """Take one retry from this host's share of a service's budget, if any is left.
 
         Returns
         -------
         RetryDecision
+            Whether the retry is allowed.
         """
         return self.retry_budget(service).take(
             self.clock(), self.hosts.existing_count()
         )
 
     def record_request(self, service):
-        """Count a request of a service, for the retries that it allows."""
+        """Count a request of a service; the retry budget grows with it."""
         self.retry_budget(service).on_first_send(
             self.clock(), self.hosts.existing_count()
         )
 
     def connection_limit(self, service):
-        """Return how many connections this host may have to one endpoint."""
+        """Return how many connections this host may open to one endpoint."""
         service_settings = self.configuration.services.get(service)
         if service_settings is None:
-            # A version that came meanwhile has dropped the service; what was begun
-            # under the one before ends on the few connections that every host may have.
+            # A newer configuration has removed the service. Requests that began under
+            # the old one finish on the few connections that the pool grants every host.
             return 0
         return int(
             USED_CONNECTIONS_FRACTION
@@ -320,7 +326,7 @@
     async def acquire(self, record, connection_limit, is_fresh=False):
         """Return a connection to one incarnation of an endpoint.
 
-        The rest is as of `ConnectionPool.acquire`.
+        The other parameters are those of `ConnectionPool.acquire`.
         """
         key = (*record.incarnation, record.address)
         return await self.connection_pool.acquire(
@@ -328,22 +334,23 @@
         )
 
     def notify_prefill_start(self):
-        """Note that an engine is about to be sent a prompt to read."""
+        """Call the listeners: an engine is about to be sent a prompt for prefill."""
         for listener in self.prefill_listeners:
             listener()
 
     def record_prefix_placement(self, state, parts, wait_s=0.0):
-        """Note that an engine keeps parts of a prompt, here and for the peers.
+        """Record that an engine caches parts of a prompt, and queue that for gossip.
 
         Parameters
         ----------
         state : EndpointState
             The engine.
         parts : sequence of PromptPart
-            The prompt's parts. The last one is the request's own, and is told to
-            nobody: only its session could ask for it again.
+            The prompt's parts. The last one belongs to this request alone and isn't
+            sent to other hosts: only later requests of its session could reuse it.
         wait_s : float
-            Time until they are read, in seconds; 0 when they are.
+            Expected time until the parts are cached, in seconds; 0 when they already
+            are.
         """
         chain = [[part.part_id, part.tokens] for part in parts]
         shared = chain[:-1]
@@ -356,7 +363,7 @@
             self._unsent_placements.append(placement)
 
     def pop_placements(self, count):
-        """Return what was noted and not told yet, the oldest first, up to a count."""
+        """Return and remove the oldest unsent placements, at most `count`."""
         placements = self._unsent_placements[:count]
         del self._unsent_placements[:count]
         return placements
@@ -364,21 +371,21 @@
     async def wait_for_tick(self, period_s):
         """Wait until the next multiple of a period, in seconds.
 
-        Made for hundreds of hosts that mostly wait. Each wake-up of a process costs as
-        much as the work that is done in it; periodic work on common ticks shares them.
+        With hundreds of mostly idle hosts, waking a process costs as much as the work
+        done on waking. Periodic tasks on common ticks share the wake-ups.
         """
         passed_s = (self.clock() + self._tick_offset_s) % period_s
         await asyncio.sleep(period_s - passed_s)
 
     def spawn(self, coroutine):
-        """Run something that no caller waits for; its failure is logged."""
+        """Run a coroutine in the background; a failure is logged."""
         task = asyncio.ensure_future(coroutine)
         self._background_tasks.add(task)
         task.add_done_callback(self._on_background_done)
         return task
 
     async def close(self):
-        """End what runs in the background."""
+        """Cancel the background tasks and close all connections to endpoints."""
         await self.stall_monitor.close()
         for task in list(self._background_tasks):
             task.cancel()
--- a/libs/entry/gypsumusher_entry/errors.py
+++ b/libs/entry/gypsumusher_entry/errors.py
@@ -1,4 +1,4 @@
-"""Errors of a request that is not sent."""
+"""Errors that keep a request from being sent to an endpoint."""
 
 from gypsumusher_ports import GypsumusherError
 
@@ -6,26 +6,26 @@
 
 
 class NoRetryError(GypsumusherError):
-    """One more send would be a retry, and this host's share of them is spent.
+    """One more send would be a retry, and this host's share of the budget is used up.
 
     Attributes
     ----------
     reason : str
-        As that of an error of a call.
+        Logged reason, as `CallError.reason`.
     """
 
     reason = "no_retry"
 
 
 class OverloadedError(GypsumusherError):
-    """No endpoint would begin in time; nothing was sent.
+    """No endpoint would start the request in time; nothing was sent.
 
     Parameters
     ----------
     expected_s : float
-        When an endpoint would begin, in seconds.
+        Expected time until an endpoint would start, in seconds.
     limit_s : float
-        Until when it must, in seconds.
+        Time within which it would have to start, in seconds.
     """
 
     def __init__(self, expected_s, limit_s):
--- a/libs/entry/gypsumusher_entry/exchange.py
+++ b/libs/entry/gypsumusher_entry/exchange.py
@@ -1,4 +1,4 @@
-"""One caller's request from its arrival to its final answer."""
+"""One request of a caller, from its arrival to the final response."""
 
 import asyncio
 
@@ -19,25 +19,25 @@
 
 __all__ = ["Exchange", "create_handler"]
 
-# When to come back to a host that has no configuration yet, in seconds: it lists the
-# store at once, or asks a peer some tenths of a second later.
+# ``Retry-After`` of a host that has no configuration yet: it lists the store at once,
+# or asks a peer some tenths of a second later.
 NO_CONFIGURATION_RETRY_AFTER_S = 0.4
-# When to come back when no endpoint is known or well, in seconds: entries and crashed
-# endpoints are back within a few seconds.
+# ``Retry-After`` when no endpoint is known or healthy: entries and crashed endpoints
+# are back within a few seconds.
 NO_ENDPOINT_RETRY_AFTER_S = 1.0
-# Part of its limit in which a request that comes back should begin, and the least
-# time until then, in seconds.
+# A caller refused for overload is told to retry when the queue has shrunk so far that
+# the request would start after this fraction of its time limit.
 OVERLOAD_START_FRACTION = 0.5
 MIN_RETRY_AFTER_S = 0.3
-# Time left to a caller that is too short for any work, in seconds.
+# Least time limit sent to an endpoint: no work fits into less.
 MIN_ENDPOINT_TIME_S = 0.005
-# What the way back takes, in seconds: an endpoint must not work on for an answer that
-# would come too late.
+# Network overhead of a response on its way to the caller. An endpoint must not go on
+# with a response that would arrive too late.
 RESPONSE_OVERHEAD_S = 0.01
 
 
 class Exchange:
-    """What is known of one request while it is served.
+    """State of one request while it is served.
 
     Parameters
     ----------
@@ -46,7 +46,7 @@
     request : CallerRequest
         The request.
     reply : Reply
-        Where the answer goes.
+        Writer of the response to the caller.
     """
 
     def __init__(self, context, request, reply):
@@ -68,22 +68,22 @@
 
     @property
     def may_have_run(self):
-        """Whether an endpoint may have run the request, or may yet."""
+        """Whether an endpoint may have run the request, or may still run it."""
         return self.possible_runs > 0
 
     @property
     def remaining_s(self):
-        """Time until the caller or the operator expects an end, in seconds."""
+        """Time until the caller's or the route's time limit ends, in seconds."""
         return self.deadline_at_s - self.context.clock()
 
     @property
     def objective_remaining_s(self):
-        """Time until the answer, or its first event, is late, in seconds."""
+        """Time until the response or its first event is late, in seconds."""
         return self.arrived_s + self.route.objective_s - self.context.clock()
 
     @property
     def first_event_limits(self):
-        """Until when the first event of a stream is of use."""
+        """Time limits within which the first event of a stream is still of use."""
         route = self.route
         waited_s = self.context.clock() - self.arrived_s
         abandoned_s = abandoned_after_s(route.objective_s, route.max_event_gap_s)
@@ -95,7 +95,7 @@
 
     @property
     def routing_request(self):
-        """What is asked of the engines, and until when."""
+        """What the request asks of the engines, with its time limits."""
         return RoutingRequest(
             self.request.generation,
             self.route.objective_s,
@@ -106,38 +106,38 @@
 
     @property
     def tokens_per_event(self):
-        """How many tokens of callers' estimates an event of this route stands for."""
+        """Estimate of how many tokens one event of this route stands for."""
         return self.context.cost_model(self.service).tokens_per_event(self.route.name)
 
     @property
     def estimated_tokens(self):
-        """Tokens of the answer, as far as the caller says."""
+        """Response tokens as estimated by the caller, or else its limit."""
         generation = self.request.generation
         return generation.expected_output_tokens or generation.max_output_tokens
 
     @property
     def expected_event_count(self):
-        """Events that the answer is expected to have; None when that isn't known."""
+        """Expected number of events of the response; None when unknown."""
         return self.tokens_per_event.expected_events(self.estimated_tokens)
 
     @property
     def endpoint_time_limit_s(self):
-        """Time for which an endpoint may work, in seconds."""
+        """Time within which an endpoint has to finish, in seconds."""
         return max(MIN_ENDPOINT_TIME_S, self.remaining_s - RESPONSE_OVERHEAD_S)
 
     def reserve_send(self):
-        """Take a retry for the next send, where it needs one that isn't held yet.
+        """Take a retry from the budget if the next send needs one that isn't held yet.
 
         Raises
         ------
         NoRetryError
-            When this host's share is spent.
+            When this host's share of the budget is used up.
         """
         if not self.try_reserve_send():
             raise NoRetryError(f"service={self.service}")
 
     def try_reserve_send(self):
-        """As `reserve_send`; return whether the request may be sent."""
+        """Like `reserve_send`, but return whether the request may be sent."""
         if not self.send_counter.needs_retry():
             return True
         decision = self.context.take_retry(self.service)
@@ -153,14 +153,15 @@
         return decision.is_allowed
 
     def log(self, level, event, **fields):
-        """Log a decision on this request."""
+        """Log an event of this request."""
         self.context.log(level, event, id=self.request.request_id, **fields)
 
     def refuse(self, status, reason, retry_after_s=None):
-        """Give the final answer of the system's own.
+        """Send a final error response of this host's own.
 
-        What promises that nothing ran is changed when something may have: the status,
-        and the word of when to come back, which invites the caller to send it again.
+        If an endpoint may have run the request, 503 becomes 502 and ``Retry-After`` is
+        left out: both would tell the caller that nothing ran and that it may send the
+        request again.
         """
         if self.may_have_run:
             status = 502 if status == 503 else status
@@ -174,22 +175,23 @@
         self.outcome = f"{status}:{reason}"
 
     def forward_response(self, head, body):
-        """Pass an endpoint's whole answer on."""
+        """Forward an endpoint's complete response."""
         self.first_output_at_s = self.context.clock()
         self.reply.send(head.status, head.headers, body)
         self.outcome = f"{head.status}:answered"
 
     def finish_unanswered(self, failed_response, error, retry_after_s):
-        """Give the final answer when no send brought one to pass on.
+        """Send the final response when no send produced one to forward.
 
         Parameters
         ----------
-        failed_answer : (ResponseHead, bytes) or None
-            An endpoint's own failure; it is passed on where nothing has been yet.
+        failed_response : (ResponseHead, bytes) or None
+            An endpoint's own error response; it is forwarded unless the response to the
+            caller has already started.
         error : CallError, NoRetryError or None
-            How the last send failed; None when there was nowhere to send.
+            How the last send failed; None when there was no endpoint to send to.
         retry_after_s : float
-            When to come back, in seconds.
+            ``Retry-After`` in seconds.
         """
         if failed_response is not None and not self.reply.is_started:
             self.forward_response(*failed_response)
@@ -199,7 +201,7 @@
 
 
 def create_handler(context):
-    """Return the coroutine that serves one request of a caller.
+    """Return the coroutine function that serves one request of a caller.
 
     Parameters
     ----------
@@ -227,7 +229,7 @@
 
 
 async def _serve(exchange):
-    """Find the route, and serve within its time."""
+    """Find the route of a request and serve it within its time limit."""
     context, request = exchange.context, exchange.request
     if context.configuration is None:
         exchange.refuse(503, "no_configuration", NO_CONFIGURATION_RETRY_AFTER_S)
@@ -247,13 +249,13 @@
         async with asyncio.timeout(exchange.remaining_s):
             await serve(exchange)
     except TimeoutError:
-        # The operator's time is up: the final answer goes out now, whatever an
-        # endpoint still does.
+        # The time limit is over: the final response goes out now, whatever an endpoint
+        # is still doing.
         status = 504 if exchange.may_have_run else 503
         exchange.refuse(status, "timeout", NO_ENDPOINT_RETRY_AFTER_S)
     except OverloadedError as error:
         exchange.log("info", "request_refused", reason="overloaded", detail=error)
-        # By then the backlog has gone so far that it would begin within its limit.
+        # By then the queue is short enough for the request to start within its limit.
         wait_s = error.expected_s - OVERLOAD_START_FRACTION * error.limit_s
         exchange.refuse(503, "overloaded", max(MIN_RETRY_AFTER_S, wait_s))
     except CallError as error:
@@ -286,7 +288,7 @@
         repeats=exchange.send_counter.repeats or None,
         retries=exchange.send_counter.retries or None,
         endpoint=exchange.run_endpoint_id,
-        # Set only when the request ended while its prompt was still to be read.
+        # Set only when the request ended while its prompt was waiting for prefill.
         waited_at=exchange.prefill_endpoint_id,
         events=exchange.event_count or None,
         objective_ms=None if route is None else round(route.objective_s * 1000),
@@ -299,7 +301,10 @@
 
 
 def _pause_limit_ms(exchange):
-    """Return the pause that a stream with events may have; None for all others."""
+    """Return the longest pause between events that the route allows.
+
+    None for responses without events and for routes without such a limit.
+    """
     if not exchange.event_count or exchange.route.max_event_gap_s is None:
         return None
     return round(exchange.route.max_event_gap_s * 1000)
--- a/libs/entry/gypsumusher_entry/host.py
+++ b/libs/entry/gypsumusher_entry/host.py
@@ -1,4 +1,4 @@
-"""One entry host: starts its parts in order, and stops without cutting a request."""
+"""One entry host: starts its components in order, and stops without losing requests."""
 
 import asyncio
 import time
@@ -18,23 +18,24 @@
 
 __all__ = ["EntryHost"]
 
-# Longest wait for an answer of the store, in seconds. It answers in milliseconds; one
-# that takes longer than this is as good as away, and peers may know more.
+# Longest wait for a response of the store, which usually takes milliseconds. A store
+# slower than this counts as unavailable, and peers may have newer state.
 STORE_TIMEOUT_S = 1.0
-# Callers keep the list of hosts for its time, some for three times as long. A stopping
-# host goes on taking requests until then.
+# Callers cache the list of hosts for its TTL, some for three times as long; a stopping
+# host accepts requests until then.
 DIRECTORY_TTL_FACTOR = 3.0
-# Left of the time to stop when the last answers are broken off, in seconds.
+# Time reserved at the end of the stop period, in which remaining requests are cut off.
 STOP_RESERVE_S = 0.6
-# A starting host takes callers when it knows its configuration, or after this long, in
-# seconds: a refused connection sends a caller on at once, while a refusal costs it one
-# of its few tries; but with the store away everywhere, somebody has to answer.
+# Longest wait of a starting host for its configuration before it accepts callers. A
+# refused connection sends a caller to another host at once, whereas a 503 uses up one
+# of its few attempts; but if the store is down for every host, one of them has to
+# answer.
 CONFIGURATION_WAIT_S = 3.0
 POLL_S = 0.02
 
 
 class EntryHost:
-    """The daemon of one entry host.
+    """One entry host, with all its listeners and background tasks.
 
     Parameters
     ----------
@@ -45,7 +46,7 @@
     metrics_port : int or None
         Port of the metrics page.
     policy : Policy
-        Which mechanisms decide.
+        Routing mechanisms that are switched on.
     """
 
     def __init__(self, settings, log, metrics_port=None, policy=ALL_ON):
@@ -65,12 +66,12 @@
         self._listener = Listener(create_handler(self.context), *codecs, clock, log)
 
     async def start(self):
-        """Start all parts; callers are taken once there is a configuration.
+        """Start all components; accept callers as soon as there is a configuration.
 
         Returns
         -------
         dict of str to str
-            The real address of each listener: callers, ready, directory, peers.
+            Bound address of each listener: callers, ready, directory, peers.
         """
         context = self.context
         settings = context.settings
@@ -83,8 +84,8 @@
         await self._store_watcher.start()
         await self._registration.start()
         await self._peer_sync.start()
-        # Peers and callers that ask for hosts are answered meanwhile; the callers'
-        # listener opens once there is a configuration.
+        # The peer and directory listeners open at once. The callers' listener waits for
+        # a configuration.
         bound = await self._start_api()
         await self._wait_for_configuration(CONFIGURATION_WAIT_S)
         callers = await _listen(self._listener, settings.callers_address)
@@ -94,9 +95,9 @@
         return {"callers": callers, **bound}
 
     async def _start_stage_orders(self):
-        """Seek the lease for orders to engines, and give them while it is held."""
-        # Imported here, when callers are served: after the loss of all hosts each
-        # tenth of a second of a start costs them their requests.
+        """Start to compete for the stage-order lease and to order stages under it."""
+        # Imported only once callers are served: after a loss of all hosts, each 0.1 s
+        # of start-up time costs callers their requests.
         from gypsumusher_entry.stage_lease import StageLease
         from gypsumusher_entry.stage_orders import StageOrders
 
@@ -121,12 +122,12 @@
         return bound
 
     def reload(self, settings):
-        """Take over bounds and seeds; addresses stay until the next start.
+        """Apply new bounds and seeds; changed addresses take effect at the next start.
 
         Parameters
         ----------
         settings : HostSettings
-            Settings as read anew.
+            Settings as read again from the file.
         """
         previous = self.context.settings
         self.context.settings = previous._replace(
@@ -140,13 +141,14 @@
         self.log("info", "settings_reloaded", changed=",".join(changed) or None)
 
     async def stop(self):
-        """Stop as planned: no request is cut.
+        """Stop as planned, without cutting off requests.
 
         Notes
         -----
-        The host first leaves the answers of the directory, its own and its peers', and
-        goes on serving whoever still comes; each answer closes its connection. When
-        callers have let go of the old list it stops listening, and waits for what runs.
+        The host first disappears from the directory responses of all hosts and keeps
+        serving requests that still arrive; each response closes its connection. When
+        callers' cached lists have expired, the host stops listening and waits for
+        running requests.
         """
         context = self.context
         bounds = context.settings.bounds
@@ -171,7 +173,7 @@
         await self.close()
 
     async def close(self):
-        """Close all parts at once."""
+        """Close all components at once."""
         await self._listener.close()
         await self._peer_sync.close()
         await self._gossip.close()
@@ -180,7 +182,7 @@
         await self._store.close()
 
     async def _wait_for_configuration(self, timeout_s):
-        """Wait until this host knows what to do with a request; say whether it does."""
+        """Wait for a configuration and an endpoint; return whether both came."""
         context = self.context
         until_s = context.clock() + timeout_s
         while context.clock() < until_s:
@@ -198,11 +200,11 @@
 
 
 async def _listen(listener, address):
-    """Listen on an address ``ip:port``; return it with the real port."""
+    """Listen on an address ``ip:port``; return it with the bound port."""
     ip, _, port = address.rpartition(":")
     return f"{ip}:{await listener.start(ip, int(port))}"
 
 
 def _clock_with_sleep():
-    """Return a time that also counts while the host is suspended, in seconds."""
+    """Return a time in seconds that also advances while the host is suspended."""
     return time.clock_gettime(time.CLOCK_BOOTTIME)
--- a/libs/entry/gypsumusher_entry/prefill.py
+++ b/libs/entry/gypsumusher_entry/prefill.py
@@ -1,4 +1,4 @@
-"""Prompts that are read apart, by an engine that hands its KV cache on."""
+"""Prefill on a separate engine, which hands its KV cache to the decoding one."""
 
 from gypsumusher_entry.errors import OverloadedError
 from gypsumusher_entry.sending_to_endpoints import (
@@ -18,24 +18,24 @@
     urgency_of,
 )
 
-__all__ = ["PrefilledPrompt", "record_prefill", "prefill_prompt"]
+__all__ = ["PrefilledPrompt", "prefill_prompt", "record_prefill"]
 
-# Engines that are asked to read one prompt; after that the engine that makes the tokens
-# reads it itself.
+# Limits the engines asked for a separate prefill of one prompt; after that the engine
+# that decodes prefills it itself.
 MAX_PREFILL_ENGINES = 2
-# Time for a call that frees a handle, in seconds; it lapses by itself soon after.
+# Time limit of a call that frees a handle; the handle expires by itself soon after.
 FREE_HANDLE_TIMEOUT_S = 1.0
 
 
 class PrefilledPrompt:
-    """A prompt that an engine has read and keeps for a while.
+    """A prompt whose KV cache an engine keeps for a while.
 
     Parameters
     ----------
     state : EndpointState
         The engine.
-    answer : PrefillResult
-        What it said.
+    response : PrefillResult
+        The engine's response.
     """
 
     def __init__(self, state, response):
@@ -44,17 +44,17 @@
 
     @property
     def source(self):
-        """Where the KV cache lies, for the engine that fetches it."""
+        """Location of the KV cache, for the engine that fetches it."""
         return f"{self.state.record.address}/{self.handle}"
 
     async def free(self, context):
-        """Have the engine free it: nobody will take it any more."""
+        """Have the engine free the KV cache, which no engine will fetch any more."""
         record = self.state.record
         call = encode_handle_release(record.address, self.handle)
         try:
             await call_engine(context, record, call, FREE_HANDLE_TIMEOUT_S)
         except (CallError, TimeoutError) as error:
-            # It lapses by itself; until then it takes memory from others.
+            # The handle expires by itself; until then it occupies memory.
             context.log(
                 "info",
                 "handle_not_freed",
@@ -64,26 +64,26 @@
 
 
 async def prefill_prompt(exchange, limits):
-    """Have the prompt read apart, where that is expected to be done first.
+    """Prefill the prompt on a separate engine, where that is expected to be faster.
 
     Parameters
     ----------
     exchange : Exchange
         The request.
     limits : EngineLimits
-        What the engines have in common.
+        Limits that all engines of the service have in common.
 
     Returns
     -------
     PrefilledPrompt or None
-        None when the engine that makes the tokens is to read it.
+        None when the engine that decodes is to prefill the prompt.
 
     Raises
     ------
     NoRetryError
-        When an engine hasn't read it, and it may not be sent again.
+        When an engine failed to prefill the prompt and it may not be sent again.
     OverloadedError
-        When no engine would begin before the caller gives up.
+        When no engine would start before the caller gives up.
     """
     context = exchange.context
     tried_ids = set()
@@ -113,7 +113,7 @@
 
 
 async def _prefill_at(exchange, prefill):
-    """Have one engine read the prompt; None when it doesn't."""
+    """Have one engine prefill the prompt; return None when it doesn't."""
     context, state = exchange.context, prefill.state
     send = SendOptions(
         state.record.endpoint_id,
@@ -132,7 +132,7 @@
     limit_s = cost_model.prefill_timeout_s(state.stage, prefill.expected_s)
     longest_s = exchange.first_event_limits.abandoned_s
     if prefill.lane != TIMELY:
-        # Asked for elsewhere it would stand last again.
+        # At another engine the prompt would start at the end of the queue again.
         limit_s = longest_s
     try:
         async with silence_timeout(exchange, limit_s, longest_s):
@@ -173,7 +173,7 @@
 
 
 def record_prefill(exchange, prefill, took_s):
-    """Take in what a reading took, in seconds."""
+    """Record how long a prefill took, in seconds."""
     context, state = exchange.context, prefill.state
     observation = PrefillObservation(
         "prefill" if prefill.is_disaggregated else "decode",
@@ -191,7 +191,7 @@
 
 
 async def _request_prefill(exchange, state, send):
-    """Send the prompt to one engine; return what it says of it."""
+    """Send the prompt to one engine; return its decoded response."""
     response = await start_send(exchange, state, send)
     try:
         head = await response.head()
--- a/libs/entry/gypsumusher_entry/sending_to_endpoints.py
+++ b/libs/entry/gypsumusher_entry/sending_to_endpoints.py
@@ -1,4 +1,4 @@
-"""One send of a request to one endpoint, with the counts that go with it."""
+"""Sending one request to one endpoint, with the counts of runs and failures."""
 
 import asyncio
 import contextlib
@@ -13,28 +13,28 @@
     "check_response_head",
     "may_send_again",
     "record_failure",
-    "start_send",
     "silence_timeout",
+    "start_send",
 ]
 
-# From this penalty on an endpoint is sent to on a new connection. One that has crashed
-# resets a kept connection only when the next request arrives there, which may then have
-# run for all that is known; a new connection is refused before anything is sent.
+# From this penalty on, a new connection is opened for each send. A crashed endpoint
+# resets a kept-alive connection only when the next request arrives, which may then have
+# run; a new connection is refused before anything is sent.
 NEW_CONNECTION_PENALTY = 0.2
-# Ends of a send that say nothing against the endpoint: it leaves as planned, it reads
-# what others sent first, or this host has no connection left of its share.
+# Failure reasons that aren't counted against the endpoint: it drains as planned, it
+# serves earlier requests first, or this host has used up its connections.
 BLAMELESS_REASONS = ("left", "behind", "no_connection")
 
 
 class EngineReply(NamedTuple):
-    """A whole answer to a call that isn't a request of a caller.
+    """Complete response to a call that isn't a caller's request.
 
     Attributes
     ----------
     status : int
         HTTP status.
     body : bytes
-        The whole body.
+        The complete body.
     """
 
     status: int
@@ -42,17 +42,17 @@
 
 
 async def start_send(exchange, state, send):
-    """Send a request to an endpoint; return the answer that is on its way.
+    """Send a request to an endpoint; return the response before its head has arrived.
 
     Parameters
     ----------
     exchange : Exchange
         The request.
     state : EndpointState
-        The endpoint; it is checked once more right before the first byte, since it may
-        have begun to leave while a connection was opened.
+        The endpoint; it is checked again right before the first byte, since it may have
+        started to drain while the connection was opened.
     send : SendOptions
-        What this send adds.
+        What this send adds to the request.
 
     Returns
     -------
@@ -63,7 +63,7 @@
     CallError
         When nothing was sent.
     NoRetryError
-        When it would be a retry, and none may be made.
+        When this send would be a retry, and none is left in the budget.
     """
     context, record = exchange.context, state.record
     exchange.reserve_send()
@@ -75,8 +75,8 @@
         raise
     exchange.send_counter.on_sent()
     if not send.is_prefill:
-        # Counted before the first byte: from here on only the endpoint's own word
-        # makes it sure that nothing ran.
+        # Counted before the first byte: after it, only a response of the endpoint can
+        # rule out that the request ran.
         exchange.possible_runs += 1
         exchange.run_endpoint_id = record.endpoint_id
     data = encode_endpoint_request(exchange.request, send)
@@ -84,7 +84,7 @@
 
 
 async def _connect(context, state):
-    """Return a connection to an endpoint that takes new work."""
+    """Return a connection to an endpoint that still accepts new work."""
     record = state.record
     limit = context.connection_limit(record.service)
     is_fresh = state.health.penalty(context.clock()) >= NEW_CONNECTION_PENALTY
@@ -96,7 +96,7 @@
 
 
 def check_response_head(exchange, state, head):
-    """Take in what the head of a run's answer says of the endpoint and of the run.
+    """Update the endpoint's and the request's state from the head of a response.
 
     Parameters
     ----------
@@ -105,12 +105,13 @@
     state : EndpointState
         The endpoint.
     head : ResponseHead
-        The head.
+        The head of its response.
 
     Raises
     ------
     CallError
-        When nothing ran, or when it looks like a success that the endpoint didn't make.
+        When the request didn't run, or when a response that looks like a success wasn't
+        made by the endpoint.
     """
     record = state.record
     if head.is_wrong_endpoint:
@@ -124,7 +125,7 @@
 
 
 async def call_engine(context, record, call, timeout_s):
-    """Make a call to an engine that isn't a request of a caller.
+    """Make a call to an engine that isn't a caller's request.
 
     Parameters
     ----------
@@ -135,7 +136,7 @@
     call : bytes
         The encoded call.
     timeout_s : float
-        Longest time for it, in seconds.
+        Time limit of the whole call, in seconds.
 
     Returns
     -------
@@ -144,7 +145,7 @@
     Raises
     ------
     CallError, TimeoutError
-        When no whole answer came.
+        When no complete response arrived.
     """
     response = None
     try:
@@ -178,10 +179,11 @@
 
 
 def may_send_again(exchange):
-    """Say whether a request may be sent to another endpoint.
+    """Return whether a request may be sent to another endpoint.
 
-    Guards against a booking that reaches two crews: once bytes of a request that runs
-    at most once may have arrived, only the endpoint's own "not run" lets it go on.
+    Once bytes of a request that must run at most once may have arrived, only an
+    explicit "not run" of the endpoint allows another send; otherwise a booking could be
+    made twice.
 
     Parameters
     ----------
@@ -197,20 +199,20 @@
 
 @contextlib.asynccontextmanager
 async def silence_timeout(exchange, silent_s, longest_s):
-    """Limit a wait for an engine, which is left only for another one.
+    """Limit the wait for an engine; end it early only if another may be tried.
 
-    Failure guarded against: a request left an engine that was late, had no retry to go
-    on with, and was refused though its answer was on the way.
+    Without that condition, a request left a late engine, had no retry left for another
+    one, and was refused although its response was on the way.
 
     Parameters
     ----------
     exchange : Exchange
         The request.
     silent_s : float
-        After how long it is left if the request may be sent again, in seconds; it is
-        asked again after as long.
+        Time after which the wait ends if the request may be sent again, in seconds;
+        otherwise this is checked again each time as much time has passed.
     longest_s : float
-        Longest wait, in seconds.
+        Time after which the wait ends in any case, in seconds.
 
     Raises
     ------
--- a/libs/entry/gypsumusher_entry/stream_exchange.py
+++ b/libs/entry/gypsumusher_entry/stream_exchange.py
@@ -1,4 +1,4 @@
-"""Requests to engines: the prompt is read, tokens are made, events are passed on."""
+"""Streaming requests to engines: prefill, decode, and forwarding of the events."""
 
 from gypsumusher_entry.errors import NoRetryError, OverloadedError
 from gypsumusher_entry.prefill import prefill_prompt, record_prefill
@@ -24,17 +24,17 @@
 
 __all__ = ["serve_stream"]
 
-# Sends of one request, refused ones among them.
+# Limits the sends of one request, refused ones included.
 MAX_SENDS = 4
 NO_CAPACITY_RETRY_AFTER_S = 1.0
-# An engine that hasn't sent the first event after this time and twice the expected
-# pending, or the next one after the second time, counts as silent, in seconds. Pieces
-# come each tenth of a second, and under full load each fifth.
+# An engine counts as silent when its first event takes longer than twice the expected
+# wait plus the first constant, or when the next event takes longer than the second.
+# Events come every 0.1 s, and every 0.2 s under full load.
 FIRST_EVENT_SLACK_S = 1.0
 NEXT_EVENT_TIMEOUT_S = 1.2
-# A resumable stream without its first event is taken up elsewhere after this many times
-# the expected pending, and not before the least one, in seconds. Only a silent engine
-# takes so long; a busy one is within twice the expectation.
+# A resumable stream without its first event is moved to another engine after this
+# multiple of the expected wait, but not before the minimum. Only a silent engine takes
+# that long; a busy one stays within twice the expectation.
 SILENCE_FACTOR = 4.0
 MIN_SILENCE_S = 0.8
 
@@ -45,7 +45,7 @@
     Parameters
     ----------
     exchange : Exchange
-        The request; its answer is given when this returns.
+        The request; when this returns, its response is complete.
     """
     stream = _Stream(exchange)
     try:
@@ -55,7 +55,7 @@
 
 
 class _Stream:
-    """One stream: where its prompt lies, and what of it was passed on."""
+    """One stream: the location of its prefilled prompt, and what was forwarded."""
 
     def __init__(self, exchange):
         self._exchange = exchange
@@ -69,7 +69,7 @@
         self._failed_response = None
 
     async def run(self):
-        """Read the prompt, and send until a stream is whole or none can come."""
+        """Prefill the prompt, then send until a stream is complete or none can be."""
         exchange, context = self._exchange, self._context
         context.record_request(exchange.service)
         try:
@@ -84,7 +84,7 @@
             )
 
     async def _send_until_complete(self):
-        """Send until a stream is whole; return whether one is, and the last error."""
+        """Send until a stream is complete; return success and the last error."""
         exchange = self._exchange
         error = None
         for _ in range(MAX_SENDS):
@@ -103,16 +103,16 @@
         return False, error
 
     def free_handle(self):
-        """Have the engine that read the prompt free it, if nobody took it."""
+        """Have the engine free the prefilled prompt, if no engine fetched it."""
         prompt, self._prefilled_prompt = self._prefilled_prompt, None
         if prompt is not None:
             self._context.spawn(prompt.free(self._context))
 
     def _retry_after_s(self):
-        """Return when it is of use to come back, in seconds.
+        """Return the ``Retry-After`` of a refusal, in seconds.
 
-        When no engine makes tokens, one that is ordered to is there after a change of
-        its stage; sooner there is nothing to come back to.
+        When no engine decodes, the earliest useful time is after one has changed its
+        stage.
         """
         if not self._is_generation():
             return NO_CAPACITY_RETRY_AFTER_S
@@ -125,7 +125,7 @@
         return self._generation is not None and self._limits is not None
 
     def _choose(self):
-        """Return where the tokens are made, and how the prompt is read there."""
+        """Return the engine for the decode, and how the prompt is prefilled there."""
         exchange, context = self._exchange, self._context
         now_s = context.clock()
         states = context.endpoints.of_service(exchange.service)
@@ -156,7 +156,8 @@
                 raise OverloadedError(
                     prefill.expected_s, exchange.first_event_limits.abandoned_s
                 )
-            # It goes on after a broken try: nobody else would take it up.
+            # After a failed run the request goes on all the same: nothing else would
+            # resume it.
             prefill = prefill._replace(lane=TIMELY)
         return prefill.state, prefill
 
@@ -191,7 +192,8 @@
         except CallError as error:
             record_failure(exchange, state, error, kv_source=send.kv_source)
             if prompt is not None and not error.may_have_run:
-                # Not taken: another engine may still have it, or it is to be freed.
+                # The engine didn't fetch the prompt: another engine still can, or it
+                # has to be freed.
                 self._prefilled_prompt = prompt if error.step == "connect" else None
                 if self._prefilled_prompt is None:
                     context.spawn(prompt.free(context))
@@ -205,12 +207,12 @@
         return None
 
     async def _forward_events(self, response, run, pending):
-        """Pass the events of one answer on.
+        """Forward the events of one response.
 
         Raises
         ------
         CallError
-            When it isn't a whole stream.
+            When the response isn't a complete stream.
         """
         exchange = self._exchange
         head = await self._await_head(response, run)
@@ -239,7 +241,7 @@
         exchange.outcome = f"{head.status}:streamed"
 
     async def _await_head(self, response, run):
-        """Return the answer's head; give a silent engine up where that is allowed."""
+        """Return the response head; abandon a silent engine if the route allows it."""
         route = self._exchange.route
         if not route.is_resumable:
             return await response.head()
@@ -255,7 +257,7 @@
             raise CallError("run", peer, "silent", True) from error
 
     async def _forward_error(self, response, head, peer):
-        """Pass an endpoint's own failure on, unless another one may do better."""
+        """Forward an endpoint's error response, unless another may succeed."""
         exchange = self._exchange
         body = await response.body()
         if exchange.reply.is_started or head.status >= 500:
@@ -264,7 +266,7 @@
         exchange.forward_response(head, body)
 
     def _forward_event(self, head, event, run):
-        """Write one whole event."""
+        """Forward one complete event."""
         exchange = self._exchange
         now_s = self._context.clock()
         if not run.has_started:
@@ -285,7 +287,7 @@
             self._last_event_id = str(event.event_id)
 
     def _record_first_event(self, run, now_s):
-        """Take in what the first event tells of the reading, or of the hand-over."""
+        """Record the time to the first event as a cost of prefill or transfer."""
         took_s = now_s - run.sent_s
         if run.prompt is not None:
             transfer_time_s = cache_transfer_s(
@@ -298,7 +300,7 @@
             record_prefill(self._exchange, run.prefill, took_s)
 
     def _allowed_gap_s(self):
-        """Return how far apart the events may be for the stream to end in time."""
+        """Return the longest gap between events with which the stream ends in time."""
         exchange = self._exchange
         limit_s = exchange.route.max_event_gap_s or exchange.remaining_s
         expected = exchange.expected_event_count
@@ -309,7 +311,7 @@
 
 
 class _EngineRun:
-    """The counts of one run at one engine."""
+    """Load counts of one run at one engine."""
 
     def __init__(self, state, prefill, sent_s, prompt):
         self.state = state
@@ -321,21 +323,21 @@
         self._is_prefilling = False
 
     def begin(self):
-        """Count the run, and the prompt that is to be read for it."""
+        """Count the run, and the prefill that it includes."""
         self.state.own_running += 1
         if self.prefill is not None:
             self._is_prefilling = True
             self.state.begin_prefill(self.prefill.cost_s, self.prefill.lane)
 
     def on_first_event(self, context, generation):
-        """Note that the prompt is read, and is kept there now."""
+        """Record that the prompt is prefilled and cached at the engine."""
         self.has_started = True
         self._end_prefill()
         if generation is not None:
             context.record_prefix_placement(self.state, generation.parts)
 
     def end(self):
-        """Take the run out of the counts."""
+        """Remove the run from the load counts."""
         self.state.own_running -= 1
         self._end_prefill()
 
