--- a/libs/entry/gypsumusher_entry/__init__.py
+++ b/libs/entry/gypsumusher_entry/__init__.py
@@ -1,1 +1,1 @@
-"""The entry host on the users' platform: callers, endpoints, peers."""
+"""Program of an entry host: carries callers' requests to engines and services."""
--- a/libs/entry/gypsumusher_entry/cmdline.py
+++ b/libs/entry/gypsumusher_entry/cmdline.py
@@ -1,11 +1,11 @@
-"""The command line of the entry host on the users' platform."""
+"""The command line of an entry host on the users' platform."""
 
 import argparse
 import asyncio
 import functools
 import gc
 
-# First, since it keeps io_uring off before uvloop is imported.
+# Imported first, since it disables io_uring before uvloop is imported.
 from gypsumusher_process import (  # isort: skip
     check_no_io_uring,
     create_bounded_log,
@@ -27,15 +27,15 @@
     Parameters
     ----------
     arguments : list of str or None
-        Command line; the process's own by default.
+        Command line; by default that of the process.
 
     Returns
     -------
     int
-        0 after a planned stop, 2 for bad settings, 1 when the host can't start.
+        0 after a planned stop, 2 for invalid settings, 1 when the host can't start.
     """
     parser = argparse.ArgumentParser(
-        prog="gypsumusher_entry", description="Serve one entry host."
+        prog="gypsumusher_entry", description="Run one entry host."
     )
     parser.add_argument(
         "--metrics-port", type=int, default=None, help="port of the metrics page"
@@ -48,7 +48,7 @@
         type=policy_without,
         default=ALL_ON,
         metavar="NAME,...",
-        help="mechanisms to leave out, for a measurement of what they are worth",
+        help="routing mechanisms to switch off, to measure their effect",
     )
     options = parser.parse_args(arguments)
     return run_program(
@@ -64,7 +64,7 @@
 
 
 async def _serve(metrics_port, policy, settings):
-    """Start the host, wait for a signal, stop as planned."""
+    """Start the host, wait for a signal, and stop as planned."""
     loop = asyncio.get_running_loop()
     bounded_log = create_bounded_log(settings.name, loop)
     log = bounded_log.log
@@ -84,7 +84,8 @@
         await host.close()
         raise StartError(f"step=listen {error}; free the address") from error
     check_no_io_uring()
-    # What was loaded stays; collections need not look at it again.
+    # Objects loaded so far stay alive; excluding them makes garbage collections
+    # cheaper.
     gc.freeze()
     log("info", "ready", version=host.context.configuration_version)
     await stop.wait()
@@ -94,7 +95,7 @@
 
 
 def _reload(host):
-    """Read the settings anew; a bad file changes nothing."""
+    """Read the settings again; an invalid file changes nothing."""
     try:
         host.reload(load_settings())
     except GypsumusherError as error:
--- a/libs/entry/gypsumusher_entry/gossip.py
+++ b/libs/entry/gypsumusher_entry/gossip.py
@@ -1,7 +1,7 @@
-"""Short messages between hosts: who lives, what is under way, what fails.
+"""Short state updates between hosts: liveness, load and failures.
 
-Each host tells the others what it has sent to each endpoint. Without that, seven hosts
-that each see a seventh of the load send to the same idle engine at once.
+Each host sends the others what it has under way at each endpoint. Without that, seven
+hosts that each see a seventh of the load send to the same idle engine at once.
 """
 
 import asyncio
@@ -14,39 +14,39 @@
 
 __all__ = ["Gossip"]
 
-# Version of the message; others are passed over, so that hosts of two releases can
-# serve side by side.
+# Version of the message format. Messages of other versions are ignored, so that hosts
+# of two releases can serve side by side.
 MESSAGE_VERSION = 4
-# Least time between two messages while the load changes, in seconds. A prompt is read
-# in a tenth of a second or more, so older counts still tell. Four hosts served 0.02 to
-# 0.04 less of the worth at 0.2 s, 0.01 to 0.02 less at 0.1 s, and no more at 0.02 s.
+# Least time between two messages while the load changes. A prefill takes 0.1 s or more,
+# so counts of this age are still useful. Four hosts lost 0.02 to 0.04 of their score at
+# 0.2 s, 0.01 to 0.02 at 0.1 s, and gained nothing at 0.02 s.
 MIN_INTERVAL_S = 0.05
-# Least time between two messages when a prompt is sent to be read, in seconds. What a
-# host hears of it later than this it learns too late: several hosts send a prompt to
-# the engine that was idle, and all but one of them wait.
+# Least time between two messages when a prompt is sent for prefill. If peers learn of
+# it later, several hosts send a prompt to the engine that was idle, and all but one of
+# the prompts wait.
 MIN_PREFILL_INTERVAL_S = 0.01
-# The same for hosts that callers aren't sent to, which have little to tell, in seconds.
+# The same for hosts that aren't active; they have little to send.
 INACTIVE_MIN_INTERVAL_S = 0.2
-# Time between two messages at rest among the active hosts, and from and to the others,
-# in seconds. Sixty hosts that told each other all of it twice a second would spend a
-# hundredth of a core and ten times the bytes that control may take.
+# Longest time between two messages: among active hosts, and from and to all others.
+# Sixty hosts that sent each other everything twice a second would use 0.01 of a core
+# and ten times the traffic that control messages are allowed.
 ACTIVE_MAX_INTERVAL_S = 0.45
 MAX_INTERVAL_S = 1.0
-# What a peer says of an engine's stage holds for this long, in seconds: it is said
-# again with each message, and the engine's own entry tells soon after.
+# Time for which a peer's announcement of an engine's stage is valid. Each message
+# repeats it, and the engine's own entry soon replaces it.
 ORDERED_STAGE_TTL_S = 2.0
 MAX_DATAGRAM_BYTES = 60_000
-# Placements told in one message; more wait for the next.
+# Limits the placements in one message; the rest waits for the next.
 MAX_PLACEMENTS = 64
 
 
 class Gossip(asyncio.DatagramProtocol):
-    """Tells the other hosts, and takes in what they tell.
+    """Sends this host's state updates and applies those of the other hosts.
 
     Parameters
     ----------
     context : Context
-        What is told, and what takes in the news.
+        Source of this host's state, and destination of the received updates.
     """
 
     def __init__(self, context):
@@ -60,7 +60,7 @@
         self._rate_limiter = GossipRateLimiter(context.settings.link_mbps)
 
     async def start(self):
-        """Open the socket and begin to tell."""
+        """Open the socket and start to send."""
         settings = self._context.settings
         loop = asyncio.get_running_loop()
         address = (settings.ip, settings.datagram_port)
@@ -71,25 +71,25 @@
         self._task = self._context.spawn(self._run())
 
     async def close(self):
-        """Stop to tell and close the socket."""
+        """Stop sending and close the socket."""
         if self._task is not None:
             self._task.cancel()
         if self._transport is not None:
             self._transport.close()
 
     def send_now(self):
-        """Tell all hosts at once, as before a planned stop."""
+        """Send an update to all hosts at once, as before a planned stop."""
         now_s = self._context.clock()
         self._broadcast(now_s, self._state(now_s), is_for_all=True)
 
-    # Called by the transport
+    # Callbacks of `asyncio.DatagramProtocol`
 
     def connection_made(self, transport):
-        """Keep the transport."""
+        """Keep the transport for sending."""
         self._transport = transport
 
     def datagram_received(self, data, address):
-        """Take in one message; an unreadable one changes nothing."""
+        """Apply one message; a message that can't be decoded changes nothing."""
         try:
             message = _decode(data)
         except (ValueError, TypeError, KeyError, msgpack.UnpackException) as error:
@@ -98,8 +98,9 @@
         self._apply(message)
 
     def error_received(self, error):
-        """Pass over a refused datagram."""
-        # A host without a process refuses the datagram; its silence tells the same.
+        """Ignore a refused datagram."""
+        # The datagram of a host whose process is down is refused; its silence shows the
+        # same.
         return
 
     async def _run(self):
@@ -118,12 +119,12 @@
                 self._broadcast(now_s, state, is_for_all=False)
 
     def _lease_state(self):
-        """Return what this host knows of the lease for orders; None for nothing."""
+        """Return the last known state of the stage-order lease, or None."""
         lease = self._context.stage_lease
         return None if lease is None else lease.known_state()
 
     def on_prefill_start(self):
-        """Tell the other active hosts at once what an engine has to read."""
+        """Tell the other active hosts at once of a prefill that is about to start."""
         now_s = self._context.clock()
         if (
             now_s - self._sent_to_active_s < MIN_PREFILL_INTERVAL_S
@@ -134,11 +135,11 @@
             self._broadcast(now_s, self._state(now_s), is_for_all=False)
 
     def _is_urgent(self, state):
-        """Say whether there is what all hosts have to hear at once."""
+        """Return whether a change in the state has to reach all hosts at once."""
         return self._last_state is None or state[:-2] != self._last_state[:-2]
 
     def _state(self, now_s):
-        """Return what this host has to say now, but for the placements."""
+        """Return what this host has to send now, apart from the placements."""
         context = self._context
         loads = {}
         shares_loads = context.policy.shared_loads
@@ -158,7 +159,7 @@
         )
 
     def _broadcast(self, now_s, state, is_for_all):
-        """Tell the active hosts, and from time to time the others."""
+        """Send the state to the active hosts, and if wanted to the others."""
         context = self._context
         active, others = self._targets()
         self._last_state = state
@@ -172,7 +173,7 @@
             self._send(active, period_s, state, (placements, lease))
         if is_for_all:
             self._sent_to_all_s = now_s
-            # What the engines have under way is of use to the active hosts only.
+            # Loads of the engines are of use to active hosts only.
             without_loads = (*state[:-1], {})
             self._send(
                 others if is_active else (), MAX_INTERVAL_S, without_loads, ([], None)
@@ -195,12 +196,12 @@
         self._rate_limiter.on_sent(context.clock(), len(ips) * len(data))
 
     def _targets(self):
-        """Return the IPs of the active hosts, and of the others."""
+        """Return the IP addresses of the active hosts, and of the others."""
         context = self._context
         own_ip = context.settings.ip
         known = set(context.hosts.addresses().values())
         if not known:
-            # Nobody is known yet: the store may be away. The seeds may live.
+            # No host is known yet, as when the store is down. The seeds may be up.
             known = {seed.rpartition(":")[0] for seed in context.settings.seeds}
         known.discard(own_ip)
         active = {status.ip for status in context.active_hosts()} & known
@@ -209,7 +210,7 @@
         return active, known - active
 
     def _apply(self, message):
-        """Take in a peer's message."""
+        """Apply a peer's message to the state of this host."""
         context = self._context
         now_s = context.clock()
         peer = message.status.name
@@ -234,21 +235,21 @@
 
 
 class _Message(NamedTuple):
-    """What one host tells another.
+    """Decoded message of one host to another.
 
     Attributes
     ----------
-    news : HostStatus
-        The host itself.
+    status : HostStatus
+        Status of the sending host.
     stages : list
-        Engines that it has ordered to change their stage: id, start of their life,
-        stage, and whether they are on their way there.
+        Stage orders of the sender: engine id, start time of the engine's incarnation,
+        stage, and whether the change is still in progress.
     loads : dict
-        For each endpoint its load, and its penalty.
+        Load and penalty by endpoint id.
     placements : list
-        Engines with the parts of prompts that they keep, or will in some seconds.
+        Engines with the prompt parts that they cache or will cache in some seconds.
     lease : list or None
-        What it knows of the lease for orders, from time to time.
+        The sender's last known state of the stage-order lease; not in every message.
     """
 
     status: HostStatus
@@ -259,15 +260,15 @@
 
 
 def _decode(data):
-    """Return the parts of a message."""
+    """Return the decoded message."""
     version, *fields = msgpack.unpackb(data)
     if version != MESSAGE_VERSION:
-        raise ValueError(f"format {version}")
+        raise ValueError(f"unsupported message version {version}")
     status, stages, loads, placements, lease = fields
     decoded = {}
     for endpoint_id, (running, prefills, lane_ms, penalty) in loads.items():
         if len(lane_ms) != len(LANES):
-            raise ValueError(f"{len(lane_ms)} lanes")
+            raise ValueError(f"wrong number of priority classes: {len(lane_ms)}")
         lane_s = tuple(work_ms / 1000.0 for work_ms in lane_ms)
         load = Load(running, prefills, lane_s)
         decoded[endpoint_id] = (load, penalty)
--- a/libs/entry/gypsumusher_entry/host_api.py
+++ b/libs/entry/gypsumusher_entry/host_api.py
@@ -1,4 +1,4 @@
-"""What is answered in one piece: readiness, hosts to use, beliefs, metrics."""
+"""HTTP paths for readiness, the directory of hosts, peer sync and metrics."""
 
 import json
 
@@ -13,12 +13,12 @@
 
 
 def create_api_handler(context):
-    """Return the coroutine that answers one request.
+    """Return the coroutine function that answers one request.
 
     Parameters
     ----------
     context : Context
-        What is answered from.
+        State to answer from.
 
     Returns
     -------
@@ -80,16 +80,16 @@
 
 
 def _parse_number(known, name):
-    """Return a number that the asking host gives, -1 when it gives none."""
+    """Return a number of the query, or -1 when it has none."""
     text = known.get(name, [""])[0]
     return int(text) if text.isascii() and text.isdigit() else -1
 
 
 def _state_newer_than(context, version, revision, accepts_changes):
-    """Return what a host lacks that knows a version and a revision.
+    """Return the state that a host at a given version and revision lacks.
 
-    A list that is not whole is told again whatever the revision: what it lacks comes
-    without a new one.
+    An incomplete list of endpoints is sent whatever the revision: entries that return
+    to it don't change the revision.
     """
     endpoints = context.endpoints
     is_complete = not endpoints.is_in_grace_period(context.clock())
--- a/libs/entry/gypsumusher_entry/metrics.py
+++ b/libs/entry/gypsumusher_entry/metrics.py
@@ -4,12 +4,12 @@
 
 __all__ = ["Metrics"]
 
-# From the network's own time to the longest deadline, in seconds.
+# From the network overhead to the longest deadline.
 HISTOGRAM_BUCKETS_S = [0.01, 0.03, 0.06, 0.125, 0.25, 0.5, 0.8, 1.5, 3.0, 6.0, 10.0]
 
 
 class _Collectors(NamedTuple):
-    """The collectors of the metrics library."""
+    """Collectors of the metrics library."""
 
     registry: Any
     requests: Any
@@ -22,10 +22,10 @@
 
 
 class Metrics:
-    """The host's metrics; the routes' names are the only open-ended label.
+    """Metrics of the host; route names are the only label with an open set of values.
 
-    The library is imported with the first request that has ended: a host that starts
-    after the loss of all hosts has callers waiting for it.
+    The library is imported at the end of the first request: after a loss of all hosts,
+    callers are waiting for each host to start.
     """
 
     def __init__(self):
@@ -35,11 +35,11 @@
         self._lags_s = {}
 
     def on_request_start(self):
-        """Count a request in."""
+        """Count a request that starts."""
         self._running_count += 1
 
     def on_request_end(self, route, outcome, took_s, first_s):
-        """Count a request out.
+        """Count a request that ends.
 
         Parameters
         ----------
@@ -48,9 +48,9 @@
         outcome : str
             Status and reason.
         took_s : float
-            From arrival to the end, in seconds.
+            Time from arrival to the end, in seconds.
         first_s : float or None
-            From arrival to the first of the answer, in seconds.
+            Time from arrival to the first part of the response, in seconds.
         """
         self._running_count -= 1
         collectors = self._load()
@@ -60,24 +60,24 @@
             collectors.first_output_time.observe({"route": route}, first_s)
 
     def on_stage_order_end(self, stage, outcome):
-        """Count an order to an engine that has ended.
+        """Count a stage order that ended.
 
         Parameters
         ----------
         stage : str
-            The stage that was wanted.
+            The ordered stage.
         outcome : str
-            How it ended.
+            Its outcome.
         """
         labels = {"stage": stage, "outcome": outcome or "left"}
         self._load().stage_orders.inc(labels)
 
     def set_configuration_version(self, version):
-        """Note the version of the configuration in force."""
+        """Set the version of the configuration in force."""
         self._configuration_version = version
 
     def set_lag(self, kind, lag_s):
-        """Note for how long peers have known more of a kind of news, in seconds."""
+        """Set the time for which peers have had newer state of a kind, in seconds."""
         self._lags_s[kind] = lag_s
 
     def render(self):
@@ -92,7 +92,7 @@
         return render(collectors.registry, [])
 
     def _load(self):
-        """Return the collectors; the first call makes them."""
+        """Return the collectors, creating them at the first call."""
         if self._collectors is None:
             self._collectors = _create_collectors()
         return self._collectors
@@ -106,29 +106,29 @@
         registry=registry,
         requests=Counter(
             "gypsumusher_requests_total",
-            "Requests of callers by route and outcome",
+            "Callers' requests by route and outcome",
             registry=registry,
         ),
         running=Gauge(
             "gypsumusher_requests_running",
-            "Requests that are being served",
+            "Requests being served",
             registry=registry,
         ),
         total_time=Histogram(
             "gypsumusher_answer_s",
-            "Arrival to the end of the answer",
+            "Time from arrival to the end of the response",
             buckets=HISTOGRAM_BUCKETS_S,
             registry=registry,
         ),
         first_output_time=Histogram(
             "gypsumusher_first_s",
-            "Arrival to the answer, of a stream to its first event",
+            "Time from arrival to the response, for streams to the first event",
             buckets=HISTOGRAM_BUCKETS_S,
             registry=registry,
         ),
         stage_orders=Counter(
             "gypsumusher_stage_orders_total",
-            "Orders that change an engine's stage, by stage and outcome",
+            "Stage orders to engines, by stage and outcome",
             registry=registry,
         ),
         version=Gauge(
@@ -138,7 +138,7 @@
         ),
         lag=Gauge(
             "gypsumusher_news_lag_s",
-            "Time for which peers have known more, by kind of news",
+            "Time for which peers have had newer state, by kind",
             registry=registry,
         ),
     )
--- a/libs/entry/gypsumusher_entry/peer_sync.py
+++ b/libs/entry/gypsumusher_entry/peer_sync.py
@@ -1,8 +1,8 @@
-"""What a host that doesn't read the store learns from its peers.
+"""Configuration and endpoints for hosts that don't read the store, from their peers.
 
-A few hosts watch the store for all. And a store may turn some hosts away while it
-serves the others and the operators: those hosts would go on by an old configuration,
-and send work to endpoints that have left.
+A few hosts watch the store for all. The store may also refuse some hosts while it
+serves others and the operators; without their peers those hosts would keep an outdated
+configuration and send work to endpoints that have left.
 """
 
 import asyncio
@@ -18,41 +18,41 @@
 
 __all__ = ["PEER_SYNC_PATH", "PeerSync"]
 
-# Where one host tells another what it believes.
+# Path at which a host serves its configuration and endpoints to other hosts.
 PEER_SYNC_PATH = "/v1/beliefs"
-# How often a host without the store looks whether a peer knows more, in seconds.
+# How often a host without the store checks whether a peer has newer state.
 CHECK_INTERVAL_S = 0.1
-# Least time between two questions to peers, in seconds.
+# Pause between two requests to peers.
 SYNC_PAUSE_S = 0.2
-# The same while the peer waits for entries that may come back, in seconds: each answer
-# holds all endpoints again, and what it lacks isn't told until the wait is over.
+# The same while the peer waits for entries that may return: each response contains all
+# endpoints, and the missing ones follow only after the wait.
 INCOMPLETE_PAUSE_S = 0.5
-# The same after a configuration that this host can't read, in seconds: each answer
-# holds it again, and the endpoints beside it still have to come within the bounds.
+# The same after a configuration that this host can't decode: each response contains it
+# again, while changed endpoints still have to arrive within the bounds.
 UNDECODABLE_PAUSE_S = 1.0
-# Longest wait for a peer's answer to begin, and for its next bytes, in seconds: a peer
-# that is silent for longer has stalled, and another one is asked within the operator's
-# bound of 2 s.
+# Longest wait for the start of a peer's response, and for its next bytes. A peer that
+# is silent for longer has stalled, and another one is asked within the operator's bound
+# of 2 s.
 SILENCE_TIMEOUT_S = 0.8
-# Longest time for the whole of it, in seconds. While an answer keeps coming nothing is
-# won by beginning another one over the same link; see `StalenessMonitor` for
-# what is done besides once it is overdue.
+# Time limit of a whole response. While a response is arriving, starting another over
+# the same link gains nothing; `StalenessMonitor` triggers reads of the store once state
+# is overdue.
 TOTAL_TIMEOUT_S = 4.0
 RESPONSE_LIMITS = CallLimits(
     SILENCE_TIMEOUT_S, SILENCE_TIMEOUT_S, TOTAL_TIMEOUT_S, SYNC_RESPONSE_MAX_BYTES
 )
-# A peer that gave no answer isn't asked again for so long, in seconds, while another
-# one knows as much.
+# A peer whose last request failed isn't asked for this long, while another one has the
+# same state.
 FAILED_PEER_PAUSE_S = 2.0
 
 
 class PeerSync:
-    """Asks peers while the store doesn't answer.
+    """Requests newer state from peers while the store doesn't answer.
 
     Parameters
     ----------
     context : Context
-        Takes what is learnt.
+        Receives the configuration and the endpoints.
     """
 
     def __init__(self, context):
@@ -62,7 +62,7 @@
         self._failed_s = {}
 
     async def start(self):
-        """Begin to look after the store's silence."""
+        """Start to check for newer state at peers."""
         self._task = self._context.spawn(self._run())
 
     async def close(self):
@@ -75,8 +75,8 @@
         context = self._context
         while True:
             await context.wait_for_tick(CHECK_INTERVAL_S)
-            # A host that watches the store may be told late: its link is full, or the
-            # watch has gone silent. Then what peers know counts for it too.
+            # A host that watches the store may get changes late too, when its link is
+            # full or the watch has gone silent. It then also asks its peers.
             if context.sees_store and not context.staleness.is_overdue(CONFIGURATION):
                 continue
             newer_peers = context.hosts.hosts_ahead(
@@ -91,10 +91,10 @@
             await asyncio.sleep(pause_s)
 
     def _choose(self, newer_peers):
-        """Return which of the peers that know more is asked next.
+        """Return which of the peers with newer state is asked next.
 
-        Failure guarded against: a peer that stalls, or whose answers can't be read,
-        knows more for ever, and a host that keeps asking it never hears the news.
+        A peer that stalls, or whose responses can't be decoded, keeps advertising newer
+        state. A host that kept asking it would never get that state.
         """
         context = self._context
         since_s = context.clock() - FAILED_PEER_PAUSE_S
@@ -104,16 +104,17 @@
             if self._failed_s.get(peer.name, since_s) <= since_s
         ]
         candidates = answering or newer_peers
-        # A peer that doesn't see the store has its beliefs from another one.
+        # A peer that doesn't see the store has its state from yet another host.
         with_store = [peer for peer in candidates if peer.sees_store] or candidates
         return with_store[int(context.draw_uniform() * len(with_store))]
 
     async def _sync_from(self, peer):
-        """Take over what one peer believes; return the pause until the next question.
+        """Sync from one peer; return the pause until the next request.
 
-        Failure guarded against: the store returns without the entries that lapsed
-        meanwhile. A host that reads it then lacks endpoints that live; as the whole
-        list its word would have every other host drop them, and refuse all work.
+        The response says whether the peer's list of endpoints is complete. A store can
+        return without the entries that expired while it was down, and a peer that has
+        read it then lacks live endpoints. Taken as the complete list, its response
+        would make all hosts drop these endpoints and refuse all work.
         """
         context = self._context
         began_s = context.clock()
@@ -140,12 +141,12 @@
         return SYNC_PAUSE_S if response.is_complete else INCOMPLETE_PAUSE_S
 
     async def _fetch(self, peer):
-        """Return the beliefs of one peer that this host lacks."""
+        """Return the state that this host lacks from one peer."""
         context = self._context
         known = {
             "version": str(context.configuration_version),
             "revision": str(context.endpoints.revision),
-            # It takes what differs in place of all endpoints.
+            # This host accepts changes in place of the list of all endpoints.
             "changes": "1",
         }
         _, data = await self._client.call(
@@ -154,7 +155,7 @@
         return decode_sync_response(peer.name, data)
 
     def _apply(self, peer, response):
-        """Take over what a peer told."""
+        """Apply the response of a peer."""
         context = self._context
         if response.configuration is not None:
             apply_stored_configuration(context, response.configuration, peer.name)
--- a/libs/entry/gypsumusher_entry/prefix_cache_recovery.py
+++ b/libs/entry/gypsumusher_entry/prefix_cache_recovery.py
@@ -1,8 +1,8 @@
-"""What engines keep, asked of them once by a host that has just started.
+"""Restores a new host's knowledge of the engines' prefix caches.
 
-Guards against a loss of all hosts, or of one, that costs as much as a loss of the
-engines' caches: the engines keep their parts, but a new process knows of none, and
-would have them read again on whatever engine is idle.
+After a restart of one or all hosts the engines still hold their caches, but a new
+process knows of no entry. Without this it would have cached prompts prefilled again on
+whatever engine is idle, which costs as much as a loss of the caches.
 """
 
 import asyncio
@@ -14,23 +14,23 @@
 
 __all__ = ["PrefixCacheRecovery"]
 
-# Engines that are on record this long after the start are asked, in seconds; one that
-# comes later is new itself and keeps nothing.
+# Engines whose records arrive within this time after the start are asked; a later one
+# is new itself and its cache is empty.
 ASK_PERIOD_S = 3.0
-# Hosts that start together have heard of each other by then, in seconds, and know to
-# which few of them callers are sent.
+# Time after which hosts that start together have received each other's updates and know
+# which few of them are active.
 PEERS_KNOWN_AFTER_S = 0.7
 POLL_S = 0.1
 ANSWER_TIMEOUT_S = 1.0
 
 
 class PrefixCacheRecovery:
-    """Asks each engine once for its list.
+    """Asks each engine once which prompt parts it has cached.
 
     Parameters
     ----------
     context : Context
-        Takes what the engines say.
+        Receives the engines' responses.
     """
 
     def __init__(self, context):
@@ -38,18 +38,18 @@
         self._asked = set()
 
     async def start(self):
-        """Begin to ask, unless the engines are as new as this host."""
+        """Start to ask, unless the engines are as new as this host."""
         if not self._context.settings.is_first_start:
             self._context.spawn(self._run())
 
     async def _run(self):
         context = self._context
         # Each call delays an engine's work. Hosts that don't know of each other yet all
-        # take callers, and hundreds of them would ask every engine at once.
+        # count as active, and hundreds of them would ask every engine at once.
         await asyncio.sleep(PEERS_KNOWN_AFTER_S)
         until_s = context.clock() + ASK_PERIOD_S
         while context.clock() < until_s:
-            # The call delays an engine's work, so only hosts that use it ask.
+            # The call delays an engine's work, so only hosts that use the response ask.
             if context.is_active():
                 for state in list(context.endpoints.states.values()):
                     if state.record.stage is None:
@@ -60,14 +60,14 @@
             await asyncio.sleep(POLL_S)
 
     async def _ask(self, state):
-        """Take over what one engine keeps."""
+        """Record what one engine has cached."""
         context, record = self._context, state.record
         call = encode_cached_parts_request(record.address)
         try:
             reply = await call_engine(context, record, call, ANSWER_TIMEOUT_S)
             parts = decode_cached_parts(record.endpoint_id, reply.body)
         except (CallError, DecodeError, TimeoutError) as error:
-            # Without its list the engine is used as if it kept nothing.
+            # Without its list the engine is treated as if its cache were empty.
             context.log(
                 "info",
                 "kept_parts_unknown",
--- a/libs/entry/gypsumusher_entry/registration.py
+++ b/libs/entry/gypsumusher_entry/registration.py
@@ -6,21 +6,21 @@
 
 __all__ = ["HOSTS_KIND", "Registration"]
 
-# A kind of our own; the platform stores it and reads nothing into it.
+# A kind of this project; the platform stores its objects without interpreting them.
 HOSTS_KIND = "entry-hosts"
 MIN_PAUSE_S, MAX_PAUSE_S = 0.2, 2.0
-# The records are read again this often, in seconds, for hosts that nobody told of.
-# Messages between hosts bring news sooner, so it may be rare and stale.
+# How often the records are read again, for hosts that no peer has announced. Gossip
+# brings changes sooner, so the reads may be rare and stale.
 REREAD_INTERVAL_S = 15.0
 
 
 class Registration:
-    """Writes this host's record, and reads those of the others.
+    """Writes this host's record, and reads those of the other hosts.
 
     Parameters
     ----------
     context : Context
-        Takes the hosts that are found.
+        Receives the hosts found.
     store : StoreClient
         The store.
     """
@@ -28,11 +28,12 @@
     def __init__(self, context, store):
         self._context = context
         self._store = store
-        # Since when this host watches the store, and so is spoken to by all hosts.
+        # Since when this host watches the store; all hosts send updates to watching
+        # hosts.
         self._watching_since_s = None
 
     async def start(self):
-        """Begin; it goes on in the background until the context is closed."""
+        """Start in the background, until the context is closed."""
         self._context.spawn(self._run())
 
     async def _run(self):
@@ -40,8 +41,9 @@
             await self._until_done(self._write)
             await self._until_done(self._read)
         else:
-            # After the loss of all hosts their records still stand: hundreds of hosts
-            # that wrote them anew would ask the store for three calls each at once.
+            # After a loss of all hosts their records still exist. Hundreds of hosts
+            # writing theirs again would make three calls to the store each, all at
+            # once.
             await self._until_done(self._reread)
         while True:
             await asyncio.sleep(
@@ -51,14 +53,14 @@
             await self._drop_forgotten()
 
     async def _until_done(self, call):
-        """Repeat a call until the store has done it."""
+        """Repeat a call until the store has performed it."""
         pause_s = MIN_PAUSE_S
         while not await call():
             await asyncio.sleep(pause_s * (0.5 + self._context.draw_uniform()))
             pause_s = min(MAX_PAUSE_S, 2.0 * pause_s)
 
     async def _write(self):
-        """Write the record; say whether it stands."""
+        """Write this host's record; return whether that succeeded."""
         settings = self._context.settings
         content = _record_of(settings)
         result = await self._store.create(HOSTS_KIND, settings.name, content)
@@ -67,11 +69,11 @@
         return self._succeeded("record_written", result)
 
     async def _reread(self):
-        """Read all records as they were some seconds ago, which costs less."""
+        """Read all records, some seconds stale, which costs the store less."""
         return await self._read(allow_stale=True)
 
     async def _read(self, allow_stale=False):
-        """Read all records; say whether that worked."""
+        """Read all records; return whether that succeeded."""
         result = await self._store.list(HOSTS_KIND, allow_stale=allow_stale)
         if isinstance(result, Failure):
             return self._succeeded("records_read", result)
@@ -87,13 +89,13 @@
             context.log("info", "host_forgotten", peer=name)
         if self._is_recorded(stored):
             return True
-        # It is new, or the others took it for gone while it was cut off. Those that
-        # wrote their records at the same time are found by reading again.
+        # This host is new, or the others deleted its record while it was cut off.
+        # Reading again finds hosts that wrote their records at the same time.
         context.log("info", "record_missing", read=len(stored))
         return await self._write() and await self._read()
 
     def _is_recorded(self, stored):
-        """Say whether this host's record stands as it would write it."""
+        """Return whether this host's record exists and is up to date."""
         settings = self._context.settings
         for item in stored:
             if item.name == settings.name:
@@ -103,8 +105,8 @@
     async def _drop_forgotten(self):
         """Delete the records of hosts that have been silent for long.
 
-        Only the hosts that watch the store do: they are few, and the others speak to
-        them alone. A host that they don't speak to would take all of them for gone.
+        Only hosts that watch the store do this: they are few, and all hosts send them
+        updates. A host that receives no updates would delete the records of all others.
         """
         context = self._context
         now_s = context.clock()
@@ -121,7 +123,7 @@
             self._succeeded("record_deleted", result)
 
     def _succeeded(self, event, result):
-        """Log a failure; say whether the call was done."""
+        """Log a failure; return whether the call succeeded."""
         if isinstance(result, Success):
             return True
         error = result.failure()
--- a/libs/entry/gypsumusher_entry/service_exchange.py
+++ b/libs/entry/gypsumusher_entry/service_exchange.py
@@ -1,4 +1,4 @@
-"""Requests to plain services: whole answers, retries and a second try when slow."""
+"""Requests to plain services: complete responses, retries and hedging."""
 
 import asyncio
 from typing import NamedTuple
@@ -16,20 +16,21 @@
 
 __all__ = ["serve_from_service"]
 
-# Part of the objective after which an idempotent request that has no answer is sent to
-# a second endpoint too: late enough that few do, early enough to be on time.
+# An idempotent request without a response is sent to a second endpoint after this
+# fraction of its objective: late enough that few requests are, early enough for the
+# second response to meet the objective.
 HEDGE_FRACTION = 0.55
-# Sends of one request, refused ones among them; more of them would only load endpoints
-# that have no room.
+# Limits the sends of one request, refused ones included; more would only load endpoints
+# that have no capacity left.
 MAX_SENDS = 4
 NO_CAPACITY_RETRY_AFTER_S = 0.5
-# An endpoint without an answer after so many times the objective counts as silent; an
-# answer that late is worth a third, and hardly any takes as long.
+# An endpoint without a response after this multiple of the objective counts as silent.
+# Hardly any response takes as long, and one that does is worth a third of one on time.
 OVERDUE_OBJECTIVE_MULTIPLE = 4.0
 
 
 class _Result(NamedTuple):
-    """How one send ended: with an answer, or with an error."""
+    """Outcome of one send: a response or an error."""
 
     state: EndpointState
     head: ResponseHead | None
@@ -43,7 +44,7 @@
     Parameters
     ----------
     exchange : Exchange
-        The request; its answer is given when this returns.
+        The request; when this returns, its response is complete.
     """
     attempts = _Attempts(exchange)
     try:
@@ -53,31 +54,31 @@
 
 
 class _Attempts:
-    """The sends of one request, of which two may be under way."""
+    """The sends of one request, of which two may run at a time."""
 
     def __init__(self, exchange):
         self._exchange = exchange
         self._tried_ids = set()
         self._tasks = {}
-        # Sends that have ended and may have run.
+        # Completed sends after which the request may have run.
         self._completed_runs = 0
         self._is_hedged = False
         self._failed_response = None
         self._last_error = None
 
     def cancel(self):
-        """Give up what is under way; its connections close."""
+        """Cancel the sends that are still running; their connections close."""
         for task in self._tasks:
             task.cancel()
 
     def _penalize_slow(self):
-        """Count endpoints against which another one, asked later, has won."""
+        """Penalize endpoints that a later send to another one has overtaken."""
         now_s = self._exchange.context.clock()
         for state in self._tasks.values():
             state.health.on_failure(now_s, "slow")
 
     async def run(self):
-        """Send until there is an answer, or none can come any more."""
+        """Send until there is a response, or none can come any more."""
         exchange = self._exchange
         context = exchange.context
         context.record_request(exchange.service)
@@ -105,10 +106,10 @@
         )
 
     def _hedge_delay_s(self):
-        """Return the wait until a second endpoint is asked; None when never.
+        """Return the time until a hedged second send; None when there is none.
 
-        It is tried once: a request that waits on, with no other endpoint or no retry
-        left, would else ask for one a thousand times a second.
+        Hedging is attempted once: otherwise a request without another endpoint or a
+        retry left would ask for one a thousand times a second.
         """
         exchange = self._exchange
         hedges = exchange.context.policy.hedges
@@ -129,12 +130,12 @@
         )
 
     def _begin(self, state):
-        """Send to an endpoint."""
+        """Start a send to an endpoint."""
         self._tried_ids.add(state.record.endpoint_id)
         self._tasks[asyncio.ensure_future(_send(self._exchange, state))] = state
 
     def _on_result(self, result):
-        """Take in the end of one send; say whether the caller has its answer."""
+        """Process one outcome; return whether the caller has its response."""
         exchange = self._exchange
         now_s = exchange.context.clock()
         if result.error is not None:
@@ -157,12 +158,12 @@
         return False
 
     def _retry(self, reason):
-        """Send to another endpoint if that is allowed and of use."""
+        """Send to another endpoint if that is allowed and one is left."""
         exchange = self._exchange
         if len(self._tried_ids) >= MAX_SENDS:
             return
-        # A send whose connection is still being opened will run too. Counted from its
-        # first byte only, a failure meanwhile would bring in one endpoint too many.
+        # Sends whose connection is still being opened count too. If only sent requests
+        # counted, a failure in the meantime would allow one endpoint too many.
         if self._completed_runs + len(self._tasks) >= exchange.route.max_endpoints:
             return
         state = self._next_endpoint()
@@ -173,7 +174,7 @@
 
 
 async def _send(exchange, state):
-    """Send once; return how that ended."""
+    """Send once; return the outcome."""
     send = SendOptions(state.record.endpoint_id, exchange.endpoint_time_limit_s)
     response = None
     limit_s = OVERDUE_OBJECTIVE_MULTIPLE * exchange.route.objective_s
--- a/libs/entry/gypsumusher_entry/stage_lease.py
+++ b/libs/entry/gypsumusher_entry/stage_lease.py
@@ -17,25 +17,25 @@
 
 __all__ = ["StageLease"]
 
-# Name of the one lease; all services' engines are ordered by one host.
+# One lease covers the engines of all services.
 LEASE_NAME = "stages"
 TICK_INTERVAL_S = 0.1
-# What a lease holds, as `Lease` writes it.
+# Keys of a stored lease, as written by `Lease`.
 _STORED_FIELDS = {"holder", "incarnation", "term", "duration_s", "released", "nonce"}
 
 
 class StageLease:
-    """Seeks and keeps the lease while this host is the one to give orders.
+    """Acquires and renews the lease while this host should order stages.
 
     Parameters
     ----------
     context : Context
-        Says which host gives orders.
+        Decides which host should order stages.
     store : StoreClient
         Holds the lease.
     clock : callable
-        Clock that also counts while the host is suspended, in seconds: a host that
-        wakes up must not take a lease for its own that has lapsed meanwhile.
+        Clock in seconds that also advances while the host is suspended: after a resume
+        a host must not take an expired lease for its own.
     """
 
     def __init__(self, context, store, clock):
@@ -48,8 +48,8 @@
             LEASE_NAME,
             settings.name,
             f"{settings.name}/{context.started_ms}",
-            # Orders of two hosts stay as far apart as the operator asks, also when
-            # the first one's last order was held up by its own pause.
+            # Keeps orders of two holders apart by the operator's bound, even if the
+            # first holder's last order was delayed because its process was suspended.
             bounds.lease_s + bounds.resume_margin_s,
             lambda: secrets.token_hex(8),
         )
@@ -60,16 +60,16 @@
         return self._lease.term
 
     async def start(self):
-        """Begin to keep the lease, until the context is closed."""
+        """Start to maintain the lease, until the context is closed."""
         self._context.spawn(self._run())
 
     def known_state(self):
-        """Return what this host knows of the lease, for its peers; None for nothing."""
+        """Return the last known state of the lease for gossip; None when unknown."""
         known = self._lease.last_stored()
         return None if known is None else list(known)
 
     def on_peer_state(self, state):
-        """Take in what a peer knows of the lease."""
+        """Update the lease from the state that a peer knows."""
         version, value = state
         if (
             type(version) is int
@@ -79,7 +79,7 @@
             self._lease.on_stored_received(self._clock(), StoredObject(version, value))
 
     def is_held_for(self, reserve_s):
-        """Say whether this host may give orders for so long from now, in seconds."""
+        """Return whether this host may give orders for the next `reserve_s` seconds."""
         return self._lease.is_held(self._clock() + reserve_s)
 
     async def _run(self):
@@ -91,7 +91,7 @@
             await self._perform(self._lease.tick(self._clock()))
 
     async def _perform(self, effects):
-        """Perform effects, and those that their events bring."""
+        """Perform effects, and the effects that their events lead to."""
         pending_effects = list(effects)
         while pending_effects:
             effect = pending_effects.pop(0)
@@ -104,12 +104,12 @@
                 pending_effects += self._lease.handle(self._clock(), event)
 
     async def _call(self, effect):
-        """Make one call of the lease; return its event."""
+        """Make one call that the lease asks for; return the resulting event."""
         if isinstance(effect, ReadObject):
             return await self._read(effect)
         if isinstance(effect, WriteObject):
             return await self._write(effect)
-        raise TypeError(f"a lease asks for {type(effect).__name__}")
+        raise TypeError(f"unexpected lease effect: {type(effect).__name__}")
 
     async def _read(self, effect):
         result = await self._store.get(effect.kind, effect.name)
@@ -131,11 +131,12 @@
         code = result.failure().code
         if code == "conflict":
             return await self._on_conflict(effect)
-        # A refused call was not done; any other may have been, or may be later.
+        # A refused call wasn't performed; any other failed call may have been, or may
+        # still be.
         return CallFailed(effect.tag, code != "refused")
 
     async def _on_conflict(self, effect):
-        """Return what stands in the way of a write."""
+        """Return the conflict event, with the object that the write conflicts with."""
         result = await self._store.get(effect.kind, effect.name)
         if isinstance(result, Failure):
             return CallFailed(effect.tag, True)
--- a/libs/entry/gypsumusher_entry/stage_orders.py
+++ b/libs/entry/gypsumusher_entry/stage_orders.py
@@ -1,4 +1,4 @@
-"""Orders that change engines' stages, by the one host that holds the lease for them."""
+"""Orders that change engines' stages, sent by the one host that holds the lease."""
 
 import asyncio
 
@@ -24,27 +24,27 @@
 
 __all__ = ["StageOrders"]
 
-# How often the demand is looked at, in seconds: often against the second for which a
-# stage may be missing.
+# How often the demand is evaluated: several times within the 1 s for which a stage may
+# be missing.
 PLAN_INTERVAL_S = 0.2
 POLL_S = 0.1
-# Longest wait for an engine's answer to a call, in seconds; it answers in milliseconds.
+# Time limit of a call to an engine, which answers within milliseconds.
 CALL_TIMEOUT_S = 0.8
-# Authority that must be left when an order goes out, in seconds: it may be on its way
-# for as long as its answer is waited for.
+# Least remaining time of the lease when an order is sent: the order may be in transit
+# for as long as its response is waited for.
 MIN_LEASE_S = CALL_TIMEOUT_S
-# An engine's entry tells of its new stage within its heartbeat and the store's lag;
-# until then, in seconds, hosts go by what is said here.
+# Time after which an engine's entry shows its new stage, by its heartbeat interval and
+# the store's lag. Until then hosts rely on this host's announcement.
 STAGE_ANNOUNCEMENT_S = 6.0
 
 
 class StageOrders:
-    """Plans stages while this host holds the lease, and carries the changes out.
+    """Plans stages and carries out the changes while this host holds the lease.
 
     Parameters
     ----------
     context : Context
-        What is known of the engines, and of the demand.
+        State of the engines and the demand.
     lease : StageLease
         Authority to give orders.
     """
@@ -56,7 +56,7 @@
         self._orders = {}
 
     async def start(self):
-        """Begin to plan, until the context is closed."""
+        """Start to plan, until the context is closed."""
         if not self._context.policy.stages:
             return
         self._context.spawn(self._run())
@@ -68,7 +68,7 @@
                 self._plan()
 
     def _plan(self):
-        """Plan each service's stages, and begin the changes."""
+        """Plan the stages of each service, and start the changes."""
         context = self._context
         if context.configuration is None:
             return
@@ -81,9 +81,9 @@
                 self._begin(service.name, change)
 
     def _begin(self, service, change):
-        """Begin to carry a change out."""
+        """Start to carry out a change."""
         context = self._context
-        # The state before: which stages there are, and what refuses all requests.
+        # The state before the change: the missing stage makes all requests be refused.
         context.log(
             "warning",
             "stage_missing",
@@ -100,7 +100,7 @@
         context.spawn(self._carry_out(state, order))
 
     def _views(self, service):
-        """Return what the planner is to know of a service's engines."""
+        """Return the planner's view of the engines of a service."""
         context = self._context
         now_s = context.clock()
         views = []
@@ -113,7 +113,7 @@
             is_switching = order is not None or (
                 ordered is not None and ordered.is_switching
             )
-            # One that changes its stage refuses work, which says nothing against it.
+            # An engine that changes its stage refuses work, which isn't a failure.
             is_sound = is_switching or not state.health.is_avoided(now_s)
             if state.record.is_draining or state.is_address_taken:
                 is_sound = False
@@ -130,7 +130,7 @@
         return views
 
     async def _carry_out(self, state, order):
-        """Drive one order to its end."""
+        """Carry out one order until it is done or abandoned."""
         context, record = self._context, state.record
         step = None
         try:
@@ -170,7 +170,7 @@
             self._announce(state, None)
 
     async def _fetch_report(self, record):
-        """Return an engine's report, or None when none came."""
+        """Return an engine's report, or None when none arrived."""
         call = encode_report_request(record.address)
         try:
             reply = await call_engine(self._context, record, call, CALL_TIMEOUT_S)
@@ -185,9 +185,10 @@
             return None
 
     async def _send(self, state, order):
-        """Send an order once; note what its answer says."""
+        """Send an order once and record the outcome."""
         context, record = self._context, state.record
-        # From the first byte on the engine may refuse work, so no host sends it any.
+        # The engine may refuse work from the first byte of the order on, so no host
+        # sends it any.
         ordered = OrderedStage(order.stage, True)
         state.on_stage_ordered(context.clock(), ordered, float("inf"))
         self._announce(state, ordered)
@@ -218,7 +219,7 @@
         )
 
     def _announce(self, state, ordered):
-        """Have the peers told what was ordered of an engine; None ends that."""
+        """Set what gossip announces of an engine's stage; None ends that."""
         context, record = self._context, state.record
         announced = [
             item for item in context.ordered_stages if item[0] != record.endpoint_id
--- a/libs/entry/gypsumusher_entry/staleness_monitor.py
+++ b/libs/entry/gypsumusher_entry/staleness_monitor.py
@@ -1,25 +1,25 @@
-"""Watches whether this host goes by older news than its peers, and says so."""
+"""Detects and reports that peers have newer state than this host."""
 
 from gypsumusher_routing import VersionLag
 
 __all__ = ["CONFIGURATION", "ENDPOINTS", "StalenessMonitor"]
 
-# Kinds of news.
+# Kinds of state that are compared.
 CONFIGURATION, ENDPOINTS = "configuration", "endpoints"
-# How often the peers' words are compared with what is known, in seconds.
+# How often this host's state is compared with that of its peers.
 POLL_S = 0.1
-# News is overdue after this part of the operator's bound: peers bring it within a tenth
-# of the bound as a rule, and what is left has to be enough for reading the store.
+# State is overdue after this fraction of the operator's bound: peers usually deliver it
+# within a tenth of the bound, and the rest has to suffice for reading the store.
 OVERDUE_FRACTION = 0.25
 
 
 class StalenessMonitor:
-    """Keeps the lag of each kind of news up to date, for decisions, log and metrics.
+    """Tracks the lag of each kind of state, for decisions, log and metrics.
 
     Parameters
     ----------
     context : Context
-        What is known here, and what the peers say.
+        State of this host, and the last updates of its peers.
     """
 
     def __init__(self, context):
@@ -28,11 +28,11 @@
         self._overdue = set()
 
     async def start(self):
-        """Begin to compare, until the context is closed."""
+        """Start to compare, until the context is closed."""
         self._context.spawn(self._run())
 
     def is_overdue(self, kind):
-        """Say whether peers have known more of a kind of news for too long."""
+        """Return whether peers have had newer state of a kind for too long."""
         return kind in self._overdue
 
     async def _run(self):
@@ -41,20 +41,21 @@
             self._compare()
 
     def _compare(self):
-        """Compare what is known here with what the peers say."""
+        """Compare this host's versions with the newest of its peers."""
         context = self._context
         now_s, bounds = context.clock(), context.settings.bounds
         version, revision = context.hosts.newest_versions(now_s)
         known = context.configuration_version
         self._update(now_s, CONFIGURATION, known, version, bounds.configuration_s)
         if context.sees_store:
-            # The store's own word; its revisions also grow by what isn't an endpoint.
+            # The store's responses count here; its revisions also grow with other kinds
+            # of objects.
             revision = 0
         known = context.endpoints.newest_received_revision
         self._update(now_s, ENDPOINTS, known, revision, bounds.drain_s)
 
     def _update(self, now_s, kind, known, newest, bound_s):
-        """Take in one comparison; log when news becomes overdue, and when it came."""
+        """Update one lag; log when the state becomes overdue or has caught up."""
         context = self._context
         before_s = self._lags[kind].lag_s
         lag_s = self._lags[kind].update(now_s, known, newest)
--- a/libs/entry/gypsumusher_entry/stall_monitor.py
+++ b/libs/entry/gypsumusher_entry/stall_monitor.py
@@ -1,8 +1,8 @@
-"""Requests at endpoints that say nothing for too long.
+"""Detection of endpoints that stop responding while their connections stay open.
 
-Made for an endpoint that falls silent with its connections open. What was sent there
-waits until its callers leave, and none of that is a failed send; so without this the
-endpoint looks idle and well, and gets more work all the while.
+Requests at such an endpoint wait until their callers leave, which doesn't count as a
+failed send. Without this monitor the endpoint looks idle and healthy, and keeps getting
+more work.
 """
 
 import asyncio
@@ -10,16 +10,16 @@
 __all__ = ["StallMonitor", "PendingResponse"]
 
 CHECK_INTERVAL_S = 0.1
-# A wait that goes on is counted again after this time, in seconds, so that the endpoint
-# stays left out for as long as it stays silent.
+# A request that keeps waiting counts as another failure after this time, so that the
+# endpoint stays excluded for as long as it is silent.
 RECOUNT_INTERVAL_S = 1.0
-# An endpoint that has sent anything to this host within this time isn't silent, in
-# seconds. One that carries a few streams sends several events in it.
+# An endpoint that has sent this host anything within this time isn't silent. One with a
+# few streams sends several events in it.
 SILENCE_S = 0.6
 
 
 class PendingResponse:
-    """One request's wait for the next bytes of an endpoint.
+    """One request that waits for the next bytes of an endpoint.
 
     Parameters
     ----------
@@ -28,7 +28,7 @@
     state : EndpointState
         The endpoint.
     due_s : float
-        When the next bytes are overdue, on the steady clock.
+        Time on the monotonic clock from which the next bytes are overdue, in seconds.
     """
 
     def __init__(self, request_id, state, due_s):
@@ -38,14 +38,14 @@
 
 
 class StallMonitor:
-    """Counts silent endpoints as failing while requests still wait for them.
+    """Counts failures of silent endpoints while requests are waiting for them.
 
     Parameters
     ----------
     clock, log : callable
-        Steady clock in seconds, and structured log.
-    next_tick : callable
-        Coroutine ``next_tick(period_s)`` that waits for the next look.
+        Monotonic clock in seconds, and structured log.
+    wait_for_tick : callable
+        Coroutine function ``wait_for_tick(period_s)`` that waits for the next check.
     """
 
     def __init__(self, clock, log, wait_for_tick):
@@ -56,31 +56,31 @@
         self._task = None
 
     async def start(self):
-        """Begin to look."""
+        """Start the checks."""
         self._task = asyncio.ensure_future(self._run())
 
     async def close(self):
-        """Stop looking."""
+        """Stop the checks."""
         if self._task is not None:
             self._task.cancel()
             await asyncio.gather(self._task, return_exceptions=True)
 
     def begin(self, request_id, state, limit_s):
-        """Watch a request that was sent just now.
+        """Monitor a request that was just sent.
 
         Parameters
         ----------
         request_id : str
             The request.
         state : EndpointState
-            Where it was sent.
+            The endpoint that it was sent to.
         limit_s : float
             Time until it is overdue, in seconds.
 
         Returns
         -------
         PendingResponse
-            Its ``due_s`` is moved on with each sign of life.
+            The caller sets its ``due_s`` anew after each sign of life.
         """
         now_s = self._clock()
         pending = PendingResponse(request_id, state, now_s + limit_s)
@@ -88,18 +88,18 @@
         return pending
 
     def end(self, pending):
-        """Watch a request no longer."""
+        """Stop monitoring a request."""
         self._pending.discard(pending)
 
     def check(self, now_s):
-        """Count what is overdue against its endpoint."""
+        """Count a failure of each endpoint with an overdue request."""
         for pending in self._pending:
             if now_s < pending.due_s:
                 continue
             late_s = now_s - pending.due_s
             pending.due_s = now_s + RECOUNT_INTERVAL_S
             if pending.state.has_answered_since(now_s - SILENCE_S):
-                # It is behind, not silent: what it reads last waits long.
+                # The endpoint is busy, not silent: it serves this request after others.
                 continue
             pending.state.health.on_failure(now_s, "silent")
             self._log(
--- a/libs/entry/gypsumusher_entry/store_watcher.py
+++ b/libs/entry/gypsumusher_entry/store_watcher.py
@@ -1,4 +1,4 @@
-"""What this host believes of the configuration and the endpoints, from the store."""
+"""Follows the configuration and the endpoints in the store."""
 
 import asyncio
 
@@ -16,30 +16,32 @@
 
 __all__ = ["StoreWatcher", "apply_stored_configuration"]
 
-# Kinds of objects that a host has to know of; it sees the store when it hears of all.
+# Kinds of objects that a host follows; it sees the store while both are answered.
 FOLLOWED_KINDS = frozenset((CONFIGURATION_KIND, ENDPOINTS_KIND))
 STATE_OF_KIND = {CONFIGURATION_KIND: CONFIGURATION, ENDPOINTS_KIND: ENDPOINTS}
-# A watch is renewed this long before a silent connection could break a bound, in
-# seconds: the next call needs to be answered within it.
+# Margin by which a watch ends before a silent connection could violate a bound: the
+# next call has to be answered within it.
 WATCH_MARGIN_S = 1.0
 WATCH_MIN_S, WATCH_MAX_S = 1.0, 20.0
-# Pauses between calls to a store that doesn't answer, in seconds: it is asked again
-# soon, since bounds count from its return, and by all hosts, which its rates must bear.
+# Back-off between calls to a store that doesn't answer. It starts low because the
+# bounds count from the store's return, and its limit keeps the calls of all hosts
+# within the store's rate limits.
 MIN_PAUSE_S, MAX_PAUSE_S = 0.1, 0.5
-# A store that failed a call this long ago may have come back without the entries that
-# lapsed meanwhile, in seconds: it is asked again within two of them while it is away. A
-# host that left it to others since then finds all entries back.
+# A store whose last call failed within this time may have returned without the entries
+# that expired while it was down. While it is down, a following host calls it again
+# within 2 s; after an older failure the host had left watching to others, and finds all
+# entries there again.
 RECENT_FAILURE_S = 3.0
-# Word of what the store has told the peers comes within this time, in seconds.
+# Time within which peers that see the store report it.
 PEER_UPDATE_DELAY_S = 0.15
-# How often a host that others watch for looks whether they still do, in seconds.
+# How often a host that leaves watching to others checks whether they still watch.
 WATCHED_BY_PEERS_POLL_S = 0.2
-# Longest pause between two readings of its own while it is behind, in seconds.
+# Limits the back-off between a lagging host's own reads of the store.
 MAX_OWN_READ_PAUSE_S = 5.0
-# Hosts that start together have heard of each other by then, in seconds, and know which
-# of them watch the store.
+# Time after which hosts that start together have received each other's updates and
+# agree on which of them watch the store.
 PEERS_KNOWN_AFTER_S = 0.5
-# Endpoints that are missing are dropped this often, in seconds.
+# How often endpoints with missing entries are dropped.
 DROP_INTERVAL_S = 0.2
 
 
@@ -49,7 +51,7 @@
     Parameters
     ----------
     context : Context
-        Takes what is learnt.
+        Receives the configuration and the endpoints.
     store : StoreClient
         The store.
     """
@@ -63,13 +65,14 @@
         self._last_failure_s = self._failing_since_s = context.clock()
         bounds = context.settings.bounds
         least_s = min(bounds.drain_s, bounds.configuration_s)
-        # A connection may go silent without a reset. After the stable window the
-        # bounds hold again, so by the window and the bound the watch has to be over.
+        # A connection may go silent without a reset. The bounds apply again after the
+        # stable window, so the watch has to end within the window plus the shorter
+        # bound.
         wait_s = bounds.stable_window_s + least_s - WATCH_MARGIN_S
         self._watch_s = min(WATCH_MAX_S, max(WATCH_MIN_S, wait_s))
 
     async def start(self):
-        """Begin to follow, until the context is closed."""
+        """Start to follow the store, until the context is closed."""
         self._lost_kinds = set(FOLLOWED_KINDS)
         spawn = self._context.spawn
         spawn(self._follow(CONFIGURATION_KIND, self._on_configurations))
@@ -77,16 +80,15 @@
         spawn(self._drop_missing())
 
     async def _follow(self, kind, apply):
-        """List a kind, then watch it; list again after each gap."""
+        """List the objects of a kind, then watch it; list again after each gap."""
         revision = None
         pause_s, own_pause_s = MIN_PAUSE_S, WATCHED_BY_PEERS_POLL_S
         while True:
             reads_directly = False
             if self._is_watched_by_peers(kind):
                 revision = None
-                # Peers whose links are full, or that can't be reached, leave this host
-                # with old routes and with endpoints that have left, while the store
-                # would answer it at once.
+                # Peers with full or broken links would leave this host with outdated
+                # routes and endpoints, while the store could answer it at once.
                 reads_directly = self._context.staleness.is_overdue(STATE_OF_KIND[kind])
                 if reads_directly:
                     await asyncio.sleep(own_pause_s)
@@ -106,13 +108,14 @@
                     self._context.log("info", "history_gone", kind=kind)
                     continue
                 self._on_failure(kind, error)
-                # Spread, so that hosts that lost the store don't come back in step.
+                # Random, so that hosts that lost the store don't return to it
+                # simultaneously.
                 await asyncio.sleep(pause_s * (0.5 + self._context.draw_uniform()))
                 pause_s = min(MAX_PAUSE_S, 2.0 * pause_s)
                 continue
             pause_s = MIN_PAUSE_S
             if kind in self._lost_kinds and self._context.endpoints.states:
-                # What they have heard meanwhile tells whether it was away for all.
+                # The peers' updates tell whether the store was down for all hosts.
                 await asyncio.sleep(PEER_UPDATE_DELAY_S)
             self._on_answered(kind, reads_directly)
             found = result.unwrap()
@@ -122,14 +125,14 @@
                 self._listed_kinds.add(kind)
                 await asyncio.sleep(PEERS_KNOWN_AFTER_S)
             if reads_directly:
-                # What it can't read doesn't become readable by reading it again.
+                # Reading an object again doesn't help if its content can't be decoded.
                 own_pause_s = min(MAX_OWN_READ_PAUSE_S, 2.0 * own_pause_s)
 
     def _is_watched_by_peers(self, kind):
-        """Say whether others watch a kind for this host, which has learnt of it.
+        """Return whether peers watch a kind that this host has already received.
 
         At the first start of all hosts the list of endpoints is empty for seconds;
-        that others watch it holds then too.
+        peers may watch it for this host then too.
         """
         context = self._context
         has_state = context.configuration is not None and context.endpoints.states
@@ -193,8 +196,9 @@
         if kind in self._lost_kinds:
             self._lost_kinds.discard(kind)
             failed_recently = context.clock() - self._last_failure_s <= RECENT_FAILURE_S
-            # A host that reads for itself has peers that saw the store all the while:
-            # what its list lacks has left, and must get no work for the grace besides.
+            # A lagging host that reads the store itself has peers that saw the store
+            # all the time. Endpoints missing in its list have left and must not get
+            # work for another grace period.
             starts_grace = (
                 failed_recently and not reads_directly and not self._failed_alone()
             )
@@ -205,11 +209,11 @@
         context.sees_store = self._answered_kinds == FOLLOWED_KINDS
 
     def _failed_alone(self):
-        """Say whether the store has answered peers while calls from here failed.
+        """Return whether the store answered peers while this host's calls failed.
 
-        Failure guarded against: a full link fails a call of a host, and the host keeps
-        endpoints that have left meanwhile, as if the store had been away for all and
-        their entries could come back.
+        A full link can fail a host's calls. Without this check the host would keep
+        endpoints that have left meanwhile, as if the store had been down for all and
+        their entries could return.
         """
         context = self._context
         return context.hosts.peer_saw_store_since(
@@ -217,7 +221,7 @@
         )
 
     async def _drop_missing(self):
-        """Drop endpoints whose entries have not come back."""
+        """Drop endpoints whose entries didn't return, and other expired state."""
         context = self._context
         while True:
             await context.wait_for_tick(DROP_INTERVAL_S)
@@ -235,16 +239,16 @@
 
 
 def apply_stored_configuration(context, stored, source):
-    """Put a stored configuration in force; one that can't be read changes nothing.
+    """Put a stored configuration in force; one that can't be decoded changes nothing.
 
     Parameters
     ----------
     context : Context
-        Takes it.
+        Receives the configuration.
     stored : StoredObject
         The configuration as stored.
     source : str
-        Who told of it.
+        Name of the peer that sent it, or ``store``.
     """
     try:
         configuration = decode_configuration(stored.content)
@@ -255,7 +259,7 @@
 
 
 def _apply_endpoint_list(context, listing):
-    """Take over a whole list of endpoints."""
+    """Replace all known endpoints by a complete list of the store."""
     records = []
     for stored in listing.objects:
         record = _decode_entry(context, stored)
@@ -271,7 +275,7 @@
 
 
 def _decode_entry(context, stored):
-    """Return an endpoint's record, or None when the entry names none."""
+    """Return the record of an endpoint's entry, or None when it can't be decoded."""
     try:
         return decode_endpoint(stored)
     except DecodeError as error:
--- a/libs/entry/gypsumusher_entry/sync_messages.py
+++ b/libs/entry/gypsumusher_entry/sync_messages.py
@@ -1,9 +1,9 @@
-"""How one host tells another what it believes: encoded, packed and bounded.
+"""Responses of the peer sync: encoding, compression and size limits.
 
-A configuration of 1,400 routes has some 400 KB, which a host's link of 5 Mbit/s takes
-over half a second to carry, and up to sixty hosts ask for it at once. So an answer
-holds only what the asking host lacks, and is packed: the names in a configuration
-repeat, and it shrinks to a fifth or less.
+A configuration of 1,400 routes has some 400 KB, which take over 0.5 s on a host's link
+of 5 Mbit/s, and up to sixty hosts ask for it at once. A response therefore contains
+only what the asking host lacks, and is compressed: names in a configuration repeat, so
+it shrinks to a fifth or less.
 """
 
 import zlib
@@ -15,37 +15,37 @@
 
 __all__ = [
     "SYNC_RESPONSE_MAX_BYTES",
-    "SyncResponseEncoder",
     "SyncResponse",
+    "SyncResponseEncoder",
     "decode_sync_response",
 ]
 
-# Largest answer, packed, and the largest content of one, in bytes. The store holds
-# values of up to a megabyte and a host knows one configuration; the entries of 910
-# endpoints have 150 KB. Beyond that an answer is none of ours, and is not kept in a
-# memory of 200 MB.
+# Largest compressed response, and largest decompressed part of one. The store holds
+# values of up to 1 MB, a host has one configuration, and the entries of 910 endpoints
+# take 150 KB. A larger response isn't a valid one, and must not fill the memory of a
+# host, which is 200 MB.
 SYNC_RESPONSE_MAX_BYTES = 2 * 1024 * 1024
 DECOMPRESSED_MAX_BYTES = 4 * 1024 * 1024
-# The fastest level of packing: 6 ms for 1,400 routes, once a version.
+# The fastest compression level: 6 ms for 1,400 routes, once per version.
 COMPRESSION_LEVEL = 1
 
 
 class SyncResponse(NamedTuple):
-    """What one host tells another.
+    """State that one host sends to another.
 
     Attributes
     ----------
     configuration : StoredObject or None
-        The configuration as stored; None when the other host knows it.
+        The configuration as stored; None when the other host has it.
     endpoints : tuple of EndpointRecord or None
-        The endpoints; None when the other host knows them.
+        The endpoints; None when the other host has them.
     revision : int
         Revision of the endpoints.
-    is_whole : bool
-        Whether no endpoint's entry is waited for.
+    is_complete : bool
+        Whether the list of endpoints is complete: no entry may still return.
     removed : tuple of str or None
-        Ids of endpoints that are gone; the endpoints are then only those that are new
-        or changed. None when they are all.
+        Ids of removed endpoints; `endpoints` then has only new and changed ones. None
+        when `endpoints` lists all.
     """
 
     configuration: StoredObject | None
@@ -56,17 +56,17 @@
 
 
 class SyncResponseEncoder:
-    """Encodes answers; what was packed for one host is kept for the next.
+    """Encodes responses; the compressed configuration is cached for other hosts.
 
-    Sixty hosts ask for the same configuration within a second. Packed for each of
-    them it would take a third of a second of the core; kept, it is packed once.
+    Sixty hosts ask for the same configuration within a second. Compressing it for each
+    would take a third of a second of a core; with the cache it is compressed once.
     """
 
     def __init__(self):
         self._compressed = {}
 
     def encode(self, response: SyncResponse) -> bytes:
-        """Return an answer's bytes."""
+        """Return the encoded response."""
         stored = response.configuration
         configuration = None
         if stored is not None:
@@ -74,17 +74,17 @@
             configuration = self._compress(key, list(stored))
         endpoints = None
         if response.endpoints is not None:
-            # An entry's beat changes the record and not the revision.
+            # Not cached: a heartbeat changes the record but not the revision.
             records = [list(record) for record in response.endpoints]
             endpoints = self._compress(None, records)
         fields = [configuration, endpoints, response.revision, response.is_complete]
         if response.removed is not None:
-            # Hosts of an earlier release don't ask for changes, and read four fields.
+            # Hosts of an earlier release don't ask for changes and expect four fields.
             fields.append(list(response.removed))
         return msgpack.packb(fields)
 
     def _compress(self, key, value):
-        """Pack a value; keep it under its key, in place of the last one's."""
+        """Compress a value; cache it under its key, in place of the previous one."""
         if key is not None and key in self._compressed:
             return self._compressed[key]
         compressed = zlib.compress(msgpack.packb(value), COMPRESSION_LEVEL)
@@ -94,20 +94,20 @@
 
 
 def decode_sync_response(peer: str, data: bytes) -> SyncResponse:
-    """Return what an answer holds.
+    """Return the decoded response.
 
     Parameters
     ----------
     peer : str
-        Who gave it, for errors.
+        Name of the sender, for errors.
     data : bytes
-        The answer.
+        The response.
 
     Raises
     ------
     DecodeError
-        When it can't be read in whole. Nothing of it is used then: half a list would
-        drop the endpoints of its other half.
+        When any of it can't be decoded. None of it is used then: half a list would drop
+        the endpoints of its other half.
     """
     try:
         configuration, endpoints, revision, is_complete, *rest = msgpack.unpackb(data)
@@ -125,16 +125,18 @@
     except (ValueError, TypeError, zlib.error, msgpack.UnpackException) as error:
         raise DecodeError("beliefs", peer, repr(error)) from error
     if type(revision) is not int or type(is_complete) is not bool:
-        raise DecodeError("beliefs", peer, "revision or is_whole has another type")
+        raise DecodeError("beliefs", peer, "revision or is_complete has a wrong type")
     if removed is not None and not all(type(item) is str for item in removed):
-        raise DecodeError("beliefs", peer, "removed holds no ids")
+        raise DecodeError("beliefs", peer, "removed must contain only ids")
     return SyncResponse(stored, records, revision, is_complete, removed)
 
 
 def _decompress(compressed):
-    """Return a packed value; a few bytes must not grow to fill the memory."""
+    """Return a compressed value, limited so that a few bytes can't fill the memory."""
     decompressor = zlib.decompressobj()
     content = decompressor.decompress(compressed, DECOMPRESSED_MAX_BYTES)
     if not decompressor.eof:
-        raise ValueError(f"cut short, or over {DECOMPRESSED_MAX_BYTES} bytes")
+        raise ValueError(
+            f"truncated, or decompressed over {DECOMPRESSED_MAX_BYTES} bytes"
+        )
     return msgpack.unpackb(content, strict_map_key=False)
