--- a/libs/entry/tests/host_harness.py
+++ b/libs/entry/tests/host_harness.py
@@ -1,4 +1,4 @@
-"""Entry hosts before stand-ins of the store and of endpoints, for tests."""
+"""Entry hosts with stand-ins of the store and of endpoints, for tests."""
 
 import asyncio
 import contextlib
@@ -51,7 +51,7 @@
 
 
 class HostHarness:
-    """A store, scripted endpoints, and one host before them."""
+    """A store, scripted endpoints, and one host that serves from them."""
 
     def __init__(self, *scripts, routes=(IDEMPOTENT_ROUTE,)):
         self.endpoints = [ScriptedEndpoint(script) for script in scripts]
@@ -105,29 +105,29 @@
 
 
 async def not_run(number, head, body, writer):
-    """Reject a request, as an endpoint without room does."""
+    """Reject a request, as an endpoint without free capacity does."""
     extra = ("X-Gypsumusher-Not-Run: 1",)
     status = "503 Service Unavailable"
     writer.write(answer_to(request_id_of(head), b"", status, extra))
 
 
 class HostWithoutStore(NamedTuple):
-    """A store, a host that reads it, and one that hears of it from the first.
+    """A store, a host that reads it, and a second host that relies on the first.
 
     Attributes
     ----------
     store : ObjectStore
-        What the first host reads.
+        Store of the first host.
     other_store : ObjectStore
-        What the second host reads: it refuses all calls until its fault is taken back.
+        Store of the second host: it refuses all calls until its fault is removed.
     link : Proxy
-        Between the hosts.
+        Connection between the hosts.
     context : Context
-        That of the second host.
+        Context of the second host.
     session : aiohttp.ClientSession
         A caller of the second host.
     lines : list of (str, dict)
-        What the second host logged.
+        Log lines of the second host.
     """
 
     store: ObjectStore
@@ -140,7 +140,7 @@
 
 @contextlib.asynccontextmanager
 async def host_without_store(*endpoint_addresses):
-    """Give two hosts, of which only one reads the store, before some endpoints."""
+    """Start two hosts with some endpoints; only the first can read the store."""
     store, refusing_store = ObjectStore(), ObjectStore()
     refusing_store.fault = "refuse"
     address, refusing_address = await store.start(), await refusing_store.start()
@@ -176,6 +176,6 @@
 
 
 async def until(condition):
-    """Wait for a condition; the test's own time limit ends a wait in vain."""
+    """Wait for a condition; the time limit of the test ends a wait that fails."""
     while not condition():
         await asyncio.sleep(0.005)
--- a/libs/entry/tests/test_concurrent_choices.py
+++ b/libs/entry/tests/test_concurrent_choices.py
@@ -1,4 +1,4 @@
-"""Many hosts that look for an idle engine at the same moment."""
+"""Many hosts that choose an idle engine at the same moment."""
 
 import asyncio
 
@@ -16,7 +16,7 @@
 
 
 class Transport:
-    """Takes down what is sent."""
+    """Records the messages sent."""
 
     def __init__(self):
         self.sent = []
@@ -29,7 +29,7 @@
 
 
 class Host:
-    """One of four active hosts before one engine; its own timers stand still."""
+    """One of four active hosts with one engine; its periodic tasks don't run."""
 
     def __init__(self):
         clock = asyncio.get_running_loop().time
@@ -74,7 +74,7 @@
 
 
 def test_peers_are_notified_before_prefill_starts():
-    """Several hosts sent a prompt to the one idle engine, and all but one waited."""
+    """Several hosts sent a prompt to the only idle engine; all but one waited."""
 
     async def scenario():
         host = Host()
--- a/libs/entry/tests/test_host.py
+++ b/libs/entry/tests/test_host.py
@@ -1,4 +1,4 @@
-"""One entry host, whole, before stand-ins of the store and of endpoints."""
+"""One complete entry host with stand-ins of the store and of endpoints."""
 
 import asyncio
 import json
@@ -57,8 +57,8 @@
 
 
 def test_internal_headers_of_callers_are_dropped():
-    # A caller names a KV cache that another request left at an engine. Passed on, its
-    # request would go on from the other's memory.
+    # A caller names a KV cache that another request left at an engine. If the header
+    # were forwarded, its request would continue from the other request's cache.
     async def scenario():
         async with HostHarness(healthy) as harness:
             await harness.ask(
@@ -77,8 +77,8 @@
 
 
 def test_at_most_once_request_with_truncated_response_is_not_resent():
-    # The endpoint ran a booking, and its answer was lost on the way. Sent again, it
-    # would run twice; answered with 503, its caller would take it for not run.
+    # The endpoint ran the request and its response was lost. A second send would run it
+    # twice, and a 503 would tell the caller that it didn't run.
     async def scenario():
         async with HostHarness(broken, broken, routes=(AT_MOST_ONCE_ROUTE,)) as harness:
             status, headers, _ = await harness.ask(method="POST")
@@ -115,8 +115,8 @@
 
 
 def test_idempotent_request_is_hedged_away_from_silent_endpoint():
-    # An endpoint hangs with its health check good. Waiting for it until the deadline
-    # helps nobody, and another endpoint answers in time.
+    # An endpoint hangs although its health check succeeds. Another endpoint can respond
+    # in time, so the request must not wait for its deadline.
     async def scenario():
         async with HostHarness(silent, healthy) as harness:
             harness.host.context.started_s -= 100.0
@@ -128,9 +128,10 @@
 
 
 def test_connecting_send_counts_against_max_endpoints():
-    # A status read reaches three endpoints, though its route allows two. The first one
-    # is slow, so a second is asked, and its connection takes a while to open. The first
-    # one fails meanwhile, and a third is asked: only what had been sent was counted.
+    # The route allows two endpoints, and the request reached a third. The first
+    # endpoint was slow, so a second send started and was still connecting when the
+    # first failed. Only sends that had left the host were counted, so another one was
+    # allowed.
     answered, opened = asyncio.Event(), asyncio.Event()
 
     async def late_error_once(number, head, body, writer):
@@ -159,7 +160,7 @@
             await answered.wait()
             states = harness.host.context.endpoints.states.values()
             await until(lambda: sum(state.own_running for state in states) < 2)
-            # What follows from the failure is decided in the next turns of the loop.
+            # The next iterations of the event loop handle the failure.
             await asyncio.sleep(0.05)
             opened.set()
             status, _, _ = await asked
@@ -170,8 +171,8 @@
 
 
 def test_log_names_prefill_engine_when_caller_leaves():
-    # A caller leaves before its prompt is read. Its line said that one send was made
-    # and named no engine, so that nobody could find the slow one.
+    # The log line of a request whose caller leaves before its prompt is prefilled has
+    # to name the engine, so that a slow engine can be found. It named none.
     async def scenario():
         async with HostHarness(silent, healthy, routes=(STREAM_ROUTE,)) as harness:
             content = configuration(2, STREAM_ROUTE)
@@ -197,8 +198,8 @@
 
 
 def test_request_without_another_endpoint_takes_no_retries():
-    # The only endpoint of a service is slow. Each request that waited for it asked for
-    # a second one a thousand times a second, and each time used up a retry of all.
+    # The only endpoint of a service is slow. Each waiting request asked for a second
+    # endpoint a thousand times a second and took a retry from the budget each time.
     async def scenario():
         async with HostHarness(silent) as harness:
             harness.host.context.started_s -= 100.0
@@ -210,9 +211,9 @@
 
 
 def test_silent_endpoint_is_avoided_while_its_requests_wait():
-    # An endpoint falls silent with its connections open. Its bookings wait until their
-    # callers leave, and none of that is a failed send: it looked idle and well, and
-    # each new booking went there too.
+    # An endpoint falls silent with its connections open. Its requests wait until their
+    # callers leave, which isn't a failed send: the endpoint looked idle and healthy,
+    # and each new request was sent there too.
     async def scenario():
         async with HostHarness(
             silent, healthy, routes=(AT_MOST_ONCE_ROUTE,)
@@ -235,8 +236,9 @@
 
 
 def test_send_after_failure_uses_new_connection():
-    # An endpoint crashes. A kept connection shows that only when the next booking has
-    # been sent on it, which may then have run; a new connection is refused before.
+    # An endpoint crashes. A kept-alive connection shows that only after the next
+    # request was sent on it, which may then have run; a new connection is refused
+    # before that.
     async def scenario():
         async with HostHarness(healthy, routes=(AT_MOST_ONCE_ROUTE,)) as harness:
             await harness.ask(method="POST", request_id="r-1")
@@ -263,8 +265,8 @@
 
 
 def test_route_timeout_is_answered_at_once():
-    # The operator's time for a route is up while its endpoint still works. The caller
-    # hears so then, and not when its own, longer patience ends.
+    # The time limit of a route ends while its endpoint is still working. The caller
+    # gets a response then, and not only at the end of its own, longer deadline.
     async def scenario():
         route = {**AT_MOST_ONCE_ROUTE, "timeout_ms": 200}
         async with HostHarness(silent, routes=(route,)) as harness:
@@ -311,8 +313,8 @@
 
 
 def test_request_of_removed_service_is_still_answered():
-    # A version drops a service while one of its requests waits for a second endpoint.
-    # The request ends with an answer all the same, and not with a fault of the host.
+    # A configuration removes a service while one of its requests waits for a second
+    # endpoint. The request has to end with a response, not with an error of the host.
     async def scenario():
         async with HostHarness(healthy, routes=(AT_MOST_ONCE_ROUTE,)) as harness:
             context = harness.host.context
@@ -340,8 +342,8 @@
 
 
 def test_undecodable_entries_do_not_affect_others():
-    # Another writer puts entries with missing fields, other types and odd states
-    # among the endpoints'. The good ones are to be used as before.
+    # Entries with missing fields, wrong types and unknown states stand among those of
+    # the endpoints. The valid entries have to be used all the same.
     async def scenario():
         async with HostHarness(healthy) as harness:
             for number, content in enumerate(
@@ -359,8 +361,9 @@
 
 
 def test_host_serves_without_store():
-    # The store turns this host away for a while, and drops its history. Requests go on
-    # by what is known, and what changed meanwhile is known soon after.
+    # The store refuses this host for a while and drops its history. The host keeps
+    # serving with its cached state, and gets later changes soon after the store is
+    # back.
     async def scenario():
         async with HostHarness(healthy) as harness:
             context = harness.host.context
@@ -382,8 +385,8 @@
 
 
 def test_host_that_resumes_watching_reports_seeing_store():
-    # Others watched the store for this host, and then it became a watcher itself. It
-    # did not say so, and all hosts that rely on watchers began to watch as well.
+    # Peers watched the store for this host until it became a watcher itself. It didn't
+    # report that it sees the store, and all hosts that rely on watchers began to watch.
     async def scenario():
         async with HostHarness(healthy) as harness:
             context = harness.host.context
@@ -400,8 +403,8 @@
 
 
 def test_planned_stop_completes_requests():
-    # A host is told to stop while it serves. The directory stops naming it at once,
-    # what runs is answered whole, and what still comes in is served too.
+    # A host is stopped while it serves. The directory must omit it at once, running
+    # requests must be completed, and late requests must be served.
     async def slow(number, head, body, writer):
         await asyncio.sleep(0.4)
         await healthy(number, head, body, writer)
@@ -441,8 +444,8 @@
 
 
 def test_host_refused_by_store_gets_state_from_peer():
-    # The store serves one host and refuses the other, and a new configuration comes.
-    # The refused host would serve by the old one; its peer tells it the new one.
+    # The store serves one host and refuses the other when a new configuration is
+    # stored. The refused host has to get it from its peer.
     async def scenario():
         store, refusing_store = ObjectStore(), ObjectStore()
         refusing_store.fault = "refuse"
@@ -455,7 +458,7 @@
             settings(address, "127.0.0.2", "host-2", (), port), lambda *a, **f: None
         )
         listens = await peer.start()
-        # The stand-in's ports are drawn, so the host is told of its real ones.
+        # Ports are assigned at start, so the host's settings need the real address.
         peer.context.settings = peer.context.settings._replace(
             peers_address=listens["peers"]
         )
@@ -494,7 +497,7 @@
         for event in events[first:] if is_ended else events[first:3]:
             writer.write(chunk(event))
         if not is_ended:
-            # Half an event, and the connection breaks.
+            # Half an event, then the connection is closed.
             writer.write(chunk(events[3][:4]))
             writer.close()
             return
@@ -504,8 +507,9 @@
 
 
 def test_broken_stream_resumes_elsewhere_without_gap_or_repeat():
-    # An engine breaks off in the middle of an event. The stream may be resumed: another
-    # engine goes on behind the last whole event, in the same answer.
+    # An engine's connection breaks in the middle of an event of a resumable stream.
+    # Another engine has to continue after the last complete event, in the same
+    # response.
     async def scenario():
         scripts = (stream_of(EVENTS, False), stream_of(EVENTS, False))
         async with HostHarness(*scripts, routes=(RESUMABLE_ROUTE,)) as harness:
@@ -535,7 +539,7 @@
             harness.host.context.started_s -= 100.0
             try:
                 await harness.ask(method="POST")
-                raise AssertionError("the answer looked complete")
+                raise AssertionError("the truncated response looked complete")
             except aiohttp.ClientPayloadError:
                 assert harness.arrivals() == 1
 
@@ -543,8 +547,8 @@
 
 
 def test_last_event_id_of_caller_is_forwarded():
-    # A caller takes up a stream whose connection broke. Without its last event's id
-    # the stream would begin anew, and its pieces would come twice.
+    # A caller resumes a stream whose connection broke. Without the id of its last event
+    # the stream would start over and repeat events.
     async def scenario():
         async with HostHarness(stream_of(EVENTS), routes=(RESUMABLE_ROUTE,)) as harness:
             _, _, body = await harness.ask(method="POST", **{"Last-Event-Id": "3"})
--- a/libs/entry/tests/test_host_api.py
+++ b/libs/entry/tests/test_host_api.py
@@ -1,4 +1,4 @@
-"""What an entry host answers to the platform, to peers, and to who looks for hosts."""
+"""Responses of an entry host to the platform, to peers and to directory clients."""
 
 import aiohttp
 from host_harness import HostHarness, run
@@ -31,7 +31,7 @@
             assert (await get(host, "ready", "/v1/other"))[0] == 404
             assert (await get(host, "ready", "/v1/readyz", "POST"))[0] == 405
             assert (await get(host, "ready", "/v1/readyz", "HEAD"))[0] == 200
-            # What isn't a number counts as nothing known.
+            # A value that isn't a number counts as no known version.
             status, body = await get(host, "peers", "/v1/beliefs?version=-1&revision=x")
             assert status == 200
             assert len(body) > 100
--- a/libs/entry/tests/test_large_configuration.py
+++ b/libs/entry/tests/test_large_configuration.py
@@ -1,4 +1,4 @@
-"""Callers of a host that hears of a large configuration from a peer."""
+"""Callers of a host that gets a large configuration from a peer."""
 
 import contextlib
 
@@ -14,12 +14,13 @@
 from platform_samples import many_routes
 from replies import ScriptedEndpoint, answer_to, request_id_of
 
-# Routes that an operator adds to a large deployment at once.
+# Number of routes that an operator adds to a large deployment at once.
 MANY_ROUTES = 1400
 REQUESTS = 10
-# A link of 10 Mbit/s, as small hosts have, in bytes a second.
+# A link of 10 Mbit/s, as small hosts have.
 LINK_BYTES_PER_S = 1_250_000.0
-# What such a link has left beside callers' bodies: a large answer takes over a second.
+# Bandwidth that callers' request bodies leave on such a link: a large response takes
+# over 1 s.
 CONGESTED_BYTES_PER_S = 25_000.0
 
 
@@ -29,7 +30,7 @@
 
 @contextlib.asynccontextmanager
 async def host_without_store_and_two_endpoints():
-    """Give both endpoints and two hosts, one of which hears from the other alone."""
+    """Start both endpoints and two hosts, one of which relies on the other."""
     endpoints = [ScriptedEndpoint(healthy), ScriptedEndpoint(healthy)]
     addresses = [await endpoint.start() for endpoint in endpoints]
     async with host_without_store(*addresses) as hosts:
@@ -40,10 +41,9 @@
 
 
 def test_many_added_routes_are_served():
-    # An operator adds a thousand routes, and the store takes them. Hosts that watch the
-    # store serve them at once; at the others a caller of a new route gets 404 until the
-    # day ends. All that a host hears from a peer comes in one answer, of which it took
-    # the first piece for the whole, so that nothing of a longer one could be read.
+    # An operator adds a thousand routes. Hosts that watch the store served them; the
+    # other hosts answered 404, because only the first chunk of a peer's response was
+    # read and the rest was lost.
     async def scenario():
         async with host_without_store_and_two_endpoints() as (_, _, hosts):
             routes = many_routes(MANY_ROUTES, IDEMPOTENT_ROUTE)
@@ -57,10 +57,10 @@
 
 
 def test_endpoint_draining_under_large_configuration_gets_no_new_work():
-    # Under a configuration of a thousand routes an endpoint says that it leaves. A host
-    # that hears from a peer goes on sending it requests until it is gone. The peer told
-    # the endpoints and the whole configuration in one answer, and what could not be
-    # read for the one's size was lost of the other too, although the list is short.
+    # An endpoint starts to drain under a configuration of a thousand routes. A host
+    # without the store kept sending it requests: the peer's response with the endpoints
+    # and the configuration was too large to be read, although the list of endpoints is
+    # short.
     async def scenario():
         async with host_without_store_and_two_endpoints() as (
             endpoints,
@@ -81,10 +81,9 @@
 
 
 def test_lagging_host_reads_store_itself():
-    # The links of the few hosts that watch the store for all are full of callers'
-    # bodies, and what they tell takes seconds. A host beside them with an idle link
-    # served old routes and sent work to endpoints that had left, though the store
-    # would have answered it at once: it left that to the hosts that watch.
+    # The links of the few watching hosts are full, and their responses take seconds. A
+    # host with an idle link kept outdated routes and sent work to endpoints that had
+    # left, since it relied on the watching hosts instead of reading the store.
     async def scenario():
         async with host_without_store() as hosts:
             hosts.context.watches_store = lambda: False
@@ -106,9 +105,10 @@
 
 
 async def remove_endpoint_unnoticed(hosts):
-    """Have one of two endpoints leave, and the second host hear nothing of it.
+    """Remove one of two endpoints without an update to the second host.
 
-    Return the store that shows it to that host, newer than all that it knows.
+    Return the second host's store, which shows the removal at a newer revision than any
+    that the host has seen.
     """
     await until(lambda: len(hosts.context.endpoints.states) == 2)
     hosts.link.set_holds(False, True)
@@ -120,10 +120,10 @@
 
 
 def test_lagging_host_drops_removed_endpoint_at_once():
-    # A host with a full link is told late of an endpoint that has left. It reads the
-    # store itself, which fails once and then shows that the entry is gone, and sends
-    # the endpoint new work for two seconds more: after a failed call it waits for
-    # entries that lapsed while the store was away. But its peers saw the store.
+    # A lagging host reads the store itself; the first call fails, and the next one
+    # shows that an endpoint is gone. The host kept sending it work for 2 s, waiting for
+    # entries that may have expired while the store was down. But its peers saw the
+    # store all along.
     async def scenario():
         async with host_without_store("127.0.0.1:9", "127.0.0.1:8") as hosts:
             hosts.context.watches_store = lambda: False
@@ -137,9 +137,9 @@
 
 
 def test_watching_host_that_alone_lost_store_drops_removed_endpoint_at_once():
-    # The same at a host that watches the store for others: a call of its own fails,
-    # for its full link, while its peers see the store. It waits for entries that never
-    # lapsed, and sends work to an endpoint that has left for two seconds more.
+    # The same at a host that watches the store: only its own call fails, because of its
+    # full link, while its peers see the store. It must not wait for expired entries and
+    # send work to an endpoint that has left for another 2 s.
     async def scenario():
         async with host_without_store("127.0.0.1:9", "127.0.0.1:8") as hosts:
             other = await remove_endpoint_unnoticed(hosts)
@@ -151,9 +151,9 @@
 
 
 def test_undecodable_configuration_is_read_with_backoff():
-    # Hosts are replaced by a newer release one by one, and an operator writes what only
-    # the newer one understands. Each older host would read a megabyte from the store
-    # several times a second, and the store turn others away, until it is replaced.
+    # During a rolling upgrade an operator stores a configuration that only the newer
+    # release can decode. Without a back-off each older host would read 1 MB from the
+    # store several times a second, and the store would refuse other hosts.
     async def scenario():
         async with host_without_store() as hosts:
             hosts.context.watches_store = lambda: False
@@ -175,10 +175,10 @@
 
 
 def test_large_configuration_arrives_over_congested_link():
-    # All hosts have weak links, and callers fill those of the hosts that others ask. A
-    # host's question for a large configuration took longer than it waits, was given up
-    # and asked again from the first byte, and so without end, while each try took its
-    # part of the link from the others. Its callers were served by the old routes.
+    # Callers fill the slow links of the watching hosts. The transfer of a large
+    # configuration exceeded its time limit and was restarted from the first byte again
+    # and again, while each attempt used bandwidth. Callers were served by outdated
+    # routes.
     async def scenario():
         async with host_without_store() as hosts:
             hosts.link.bytes_per_s = CONGESTED_BYTES_PER_S
--- a/libs/entry/tests/test_peer_sync.py
+++ b/libs/entry/tests/test_peer_sync.py
@@ -1,4 +1,4 @@
-"""What hosts that don't read the store hear from their peers."""
+"""State that hosts without access to the store get from their peers."""
 
 import asyncio
 import contextlib
@@ -21,17 +21,17 @@
 )
 from gypsumusher_ports import DecodeError, EndpointRecord, StoredObject
 
-# Routes of a large deployment's configuration after its growth, and the endpoints of
-# the size that the project is designed for.
+# Routes of a large deployment after it has grown, and the largest number of endpoints
+# that the project is designed for.
 MANY_ROUTES, MANY_ENDPOINTS = 1400, 910
-# Bytes that a link of 5 Mbit/s, the weakest seen, carries in a quarter of a second.
+# Bytes that the slowest known link, 5 Mbit/s, carries in 0.25 s.
 SLOW_LINK_BYTES = 150_000
 
 
 def test_large_configuration_reaches_host_without_store():
-    # An operator adds a thousand routes. The hosts that watch the store take them; at
-    # the others callers of the new routes get 404 until the day ends. The answer of
-    # a peer came in several pieces, and the first was taken for all of it.
+    # An operator adds a thousand routes. Hosts that don't watch the store answered 404
+    # for them: a peer's response arrives in several chunks, and the first was taken for
+    # all.
     async def scenario():
         async with host_without_store() as hosts:
             store, context, lines = hosts.store, hosts.context, hosts.lines
@@ -48,8 +48,8 @@
 
 
 def test_stalled_peer_is_asked_again_and_its_response_discarded():
-    # The link to the only peer that knows more holds back its answers for a while.
-    # The host goes on by what it knows, and hears the news once the link is well.
+    # The link to the only peer with newer state stalls for a while. The host has to
+    # keep its state, and to catch up once the link works again.
     async def scenario():
         async with host_without_store() as hosts:
             store, link, context, lines = (
@@ -75,8 +75,8 @@
 
 
 def test_host_reports_stale_configuration_until_it_catches_up():
-    # Callers of one host are served by old routes while all others go by the new ones.
-    # The host is well by all that its log and metrics tell, so nobody looks there.
+    # One host serves outdated routes while all others use the new ones. Its log and
+    # metrics have to show it; otherwise the host looks healthy to operators.
     async def scenario():
         async with host_without_store() as hosts:
             hosts.link.set_holds(False, True)
@@ -109,13 +109,13 @@
 
 
 def test_single_endpoint_change_is_sent_alone():
-    """Each change of an endpoint was told to all hosts as the list of all of them."""
+    """Each change of one endpoint was sent as the list of all endpoints."""
 
     async def scenario():
         addresses = [f"127.0.0.1:{port}" for port in range(9, 9 + MANY_ENDPOINTS // 10)]
         async with host_without_store(*addresses) as hosts:
             context = hosts.context
-            # Until then the peer waits for entries that may come back.
+            # Before that the peer waits for entries that may return.
             await until(lambda: context.endpoints.revision > 0)
             line_count = len(hosts.lines)
             changed = entry(addresses[0], "draining", beat=2)
@@ -164,7 +164,7 @@
 
 
 def test_largest_response_fits_slow_link():
-    # Sixty hosts ask within a second for a configuration of 1,400 routes, some over a
+    # Sixty hosts ask for a configuration of 1,400 routes within a second, some over a
     # link of 5 Mbit/s that callers use too.
     response = sync_response(MANY_ROUTES, MANY_ENDPOINTS)
     data = SyncResponseEncoder().encode(response)
@@ -186,15 +186,16 @@
 
 @pytest.mark.parametrize("kept_fraction", [0.0, 0.3, 0.99])
 def test_truncated_response_is_rejected(kept_fraction):
-    # A peer is killed in the middle of its answer, and the connection ends as a whole
-    # one would. Half a list would drop the endpoints of its other half.
+    # A peer is killed in the middle of its response, and the connection ends like that
+    # of a complete one. Half a list would drop the endpoints of its other half.
     data = SyncResponseEncoder().encode(sync_response(50, 50))
     with pytest.raises(DecodeError):
         decode_sync_response("host-2", data[: int(len(data) * kept_fraction)])
 
 
 def test_decompression_bomb_is_rejected():
-    # A host of 200 MB that unpacks whatever it is sent is killed by one bad answer.
+    # A host with 200 MB of memory that decompresses without limit is killed by one
+    # malformed response.
     content = {"version": 7, "padding": "0" * 50_000_000}
     response = sync_response()._replace(
         configuration=StoredObject("main", 5, content, None)
@@ -204,7 +205,7 @@
 
 
 def test_body_over_limit_is_not_read():
-    # A peer of another release, or none of ours, answers without an end.
+    # A peer of another release, or an unrelated server, sends an endless response.
     async def endless(reader, writer):
         await reader.readuntil(b"\r\n\r\n")
         writer.write(b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n")
--- a/libs/entry/tests/test_prefix_cache_recovery.py
+++ b/libs/entry/tests/test_prefix_cache_recovery.py
@@ -1,4 +1,4 @@
-"""Hosts that all start at once, before engines that keep what they have read."""
+"""Hosts that all start at once, with engines that have filled prefix caches."""
 
 import asyncio
 from types import SimpleNamespace
@@ -8,12 +8,12 @@
 from gypsumusher_routing import EndpointState
 
 ENGINES = 59
-# When a host that has just started has heard of the others, in seconds.
+# Time after which a started host has received the updates of the others.
 PEERS_KNOWN_S = 0.4
 
 
 class StartingHost:
-    """What a host knows that starts together with many others."""
+    """Context of a host that starts together with many others."""
 
     def __init__(self, is_active):
         self.clock = asyncio.get_running_loop().time
@@ -31,7 +31,7 @@
         self.tasks = []
 
     def is_active(self):
-        """Take itself for active until it has heard of the others."""
+        """Count as active until the updates of the other hosts have arrived."""
         has_heard = self.clock() - self.began_s > PEERS_KNOWN_S
         return self._stays_active or not has_heard
 
@@ -55,10 +55,10 @@
 
 
 def test_inactive_host_asks_no_engine():
-    """After the loss of all hosts each of them asked every engine for its list."""
+    """After a loss of all hosts each of them asked every engine for its cache."""
     assert asked_within(1.2, is_active=False) == 0
 
 
 def test_active_host_asks_each_engine_once():
-    """A host that knows nothing of the engines' caches has all parts read again."""
+    """A host that knows no cached prompts has all of them prefilled again."""
     assert asked_within(1.2, is_active=True) == ENGINES
--- a/libs/entry/tests/test_registration.py
+++ b/libs/entry/tests/test_registration.py
@@ -11,7 +11,7 @@
 
 
 class RecordStore:
-    """The store's records, as one host after another reads and writes them."""
+    """A store of host records that several hosts read and write."""
 
     def __init__(self, *names):
         self.records = {name: {"ip": "10.0.0.9", "zone": "a"} for name in names}
@@ -52,7 +52,7 @@
 
 
 async def start_until_idle(store, context):
-    """Start a registration, and let it do all that needs no waiting."""
+    """Start a registration and run it until it waits."""
     context.draw_uniform = lambda: 0.5
     context.spawn = asyncio.ensure_future
     task = asyncio.ensure_future(Registration(context, store)._run())
@@ -62,7 +62,7 @@
 
 
 def test_restarting_hosts_do_not_rewrite_existing_records():
-    """After the loss of all hosts each called the store three times for its record."""
+    """After a loss of all hosts each called the store three times for its record."""
     store = RecordStore("host-2")
     store.records["host-1"] = {"ip": "10.0.0.1", "zone": "a"}
     store.create = store.replace = None
@@ -72,7 +72,7 @@
 
 
 def test_host_at_new_address_rewrites_its_record():
-    """A host came back elsewhere, and its peers went on calling its old address."""
+    """A host restarted at a new address, and its peers kept calling the old one."""
     store = RecordStore("host-1")
     _, context = create_context()
     asyncio.run(start_until_idle(store, context))
@@ -89,7 +89,7 @@
 
 
 def test_record_of_lost_host_is_deleted_by_watching_host():
-    """Records of replaced hosts stay for ever, and every host goes on calling them."""
+    """Records of replaced hosts stayed for ever, and all hosts kept calling them."""
     store = RecordStore("host-1", "host-2")
     clock, context = create_context()
     registration = Registration(context, store)
@@ -103,7 +103,7 @@
 
 
 def test_host_without_watch_deletes_no_records():
-    """Three hundred hosts each delete the same record, at the store's expense."""
+    """Three hundred hosts each deleted the same record, at the store's expense."""
     store = RecordStore("host-1", "host-2")
     clock, context = create_context(is_watcher=False)
     registration = Registration(context, store)
@@ -113,11 +113,11 @@
 
 
 def test_hosts_without_direct_updates_stay_known_by_records():
-    """Callers find too few hosts after the loss of those that they were sent to.
+    """Callers found too few hosts after the loss of the active ones.
 
-    The other hosts speak to the active ones only. Each minute they forgot each other,
-    until the records were read again; if the active ones were lost meanwhile, they did
-    not hear of each other.
+    Inactive hosts send updates only to the active ones. They forgot each other every
+    minute until they read the records again; if the active hosts were lost meanwhile,
+    they didn't find each other.
     """
     store = RecordStore("host-1", "host-2", "host-3")
     clock, context = create_context(is_watcher=False)
@@ -131,9 +131,9 @@
 
 
 def test_new_watcher_waits_before_it_deletes_records():
-    """The active hosts are lost, and the next one deletes the records of all others.
+    """The active hosts were lost, and the next one deleted the records of all others.
 
-    They have not spoken to it for hours, since it was not active.
+    The others hadn't sent it updates for hours, since it was not active.
     """
     store = RecordStore("host-1", "host-2")
     clock, context = create_context(is_watcher=False)
@@ -149,9 +149,9 @@
 
 
 def test_host_with_deleted_record_writes_it_again():
-    """A host is cut off for a minute, and nobody ever speaks to it again.
+    """A host was cut off for a minute, and no other host ever contacted it again.
 
-    The others have deleted its record meanwhile; it wrote that at its start only.
+    The others had deleted its record meanwhile, and it wrote that at its start only.
     """
     store = RecordStore("host-1")
     clock, context = create_context()
--- a/libs/entry/tests/test_retry_budget.py
+++ b/libs/entry/tests/test_retry_budget.py
@@ -1,4 +1,4 @@
-"""Sends beyond the first of each request, against the operator's bound."""
+"""Sends beyond the first of each request stay within the operator's retry budget."""
 
 import asyncio
 from collections import Counter
@@ -30,7 +30,7 @@
 
 
 async def make_engines(harness, *stages, route=STREAM_ROUTE):
-    """Have the endpoints be engines with these stages."""
+    """Turn the endpoints into engines with these stages."""
     content = configuration(2, route)
     content["services"][0]["engine"] = {"slots": 8}
     harness.store.put("config", "main", content)
@@ -45,7 +45,7 @@
 
 
 def test_runs_after_rejected_prefills_count_as_retries():
-    """Engines rejected prefills, and each run after one came on top of the budget."""
+    """Runs after rejected prefills exceeded the budget: they weren't counted."""
 
     async def scenario():
         async with HostHarness(*[not_run] * 4, routes=(STREAM_ROUTE,)) as harness:
@@ -68,7 +68,7 @@
 
 
 def test_late_engine_is_kept_when_no_retry_is_left():
-    """A prompt was given up while it was read, and its request refused."""
+    """A prefill was abandoned without a retry left, and its request was refused."""
 
     async def prefills_late(number, head, body, writer):
         await asyncio.sleep(0.3)
@@ -83,7 +83,7 @@
         async with HostHarness(prefills_late, streams, routes=(route,)) as harness:
             await make_engines(harness, "prefill", "decode", route=route)
             context = harness.host.context
-            # Its share of the retries is empty as after a start.
+            # The host's share of the budget is empty, as after a start.
             context.started_s = context.clock()
             cost_model = context.cost_model("svc")
             cost_model.prefill_timeout_s = lambda stage, expected_s: 0.2
@@ -102,7 +102,7 @@
 
 
 def test_wait_ending_at_its_limit_takes_no_retry():
-    """A wait was over and left its engine at the same moment, and a retry was lost."""
+    """A wait whose two limits ended at the same moment took a retry for nothing."""
 
     async def scenario():
         async with HostHarness(not_run, routes=(STREAM_ROUTE,)) as harness:
@@ -120,7 +120,7 @@
 
 
 def test_refused_connection_takes_no_retry():
-    """An endpoint was down, and its refused connections used up the retries."""
+    """Refused connections to an endpoint that was down used up the retry budget."""
 
     async def scenario():
         async with HostHarness(
@@ -139,7 +139,7 @@
 
 
 class Host:
-    """The state of one of seven hosts, on a clock that the test sets."""
+    """One of seven hosts, with a clock that the test sets."""
 
     def __init__(self, number, clock):
         self.context = Context(
@@ -161,7 +161,7 @@
 
 
 def create_hosts(received_s, now_s):
-    """Return seven hosts that started at 0 s and heard of each other at a time."""
+    """Return seven hosts, started at 0 s, that received all updates at `received_s`."""
     times_s = [0.0]
     hosts = [Host(number, lambda: times_s[0]) for number in range(HOSTS)]
     times_s[0] = now_s
@@ -181,21 +181,21 @@
 
 
 def test_isolated_hosts_stay_within_common_budget():
-    """Hosts that were cut off from each other each took the retries of all."""
+    """Hosts that were cut off from each other each used the whole budget."""
     hosts = create_hosts(received_s=0.0, now_s=30.0)
     assert not any(host.context.active_hosts() for host in hosts)
     assert 0 < retries_of(hosts) <= BOUNDS.retry_slack
 
 
 def test_partly_active_hosts_stay_within_common_budget():
-    """Four of seven hosts were active, and each of the seven took a fourth."""
+    """Four of seven hosts were active, and each of the seven used a quarter."""
     hosts = create_hosts(received_s=30.0, now_s=30.0)
     assert {len(host.context.active_hosts()) for host in hosts} == {4}
     assert 0 < retries_of(hosts) <= BOUNDS.retry_slack
 
 
 def test_isolated_hosts_share_endpoint_connections():
-    """Each of four hosts that were cut off opened nearly all that an endpoint takes."""
+    """Each of four isolated hosts opened nearly all connections of an endpoint."""
     content = decode_configuration(configuration(1, AT_MOST_ONCE_ROUTE))
     sums = []
     for received_s in (30.0, 0.0):
--- a/libs/entry/tests/test_shared_ticks.py
+++ b/libs/entry/tests/test_shared_ticks.py
@@ -1,4 +1,4 @@
-"""Periodic work of one host shares its wake-ups."""
+"""Periodic tasks of one host wake up together."""
 
 import asyncio
 
@@ -11,7 +11,7 @@
 
 
 def test_periodic_work_wakes_together():
-    """Idle hosts spent most of their processor time on eight timers of their own."""
+    """Idle hosts spent most of their CPU time on eight independent timers."""
 
     async def scenario():
         clock = asyncio.get_running_loop().time
@@ -24,7 +24,7 @@
             await context.wait_for_tick(PERIOD_S)
             woken_s.append(clock())
 
-        # Begun over half of a period, some before a tick and some behind it.
+        # Started over half of a period, some before a tick and some after it.
         delays_s = [number * PERIOD_S / (2 * LOOPS) for number in range(LOOPS)]
         await asyncio.gather(*(wake(delay_s) for delay_s in delays_s))
         ticks = {round(at_s / PERIOD_S, 1) for at_s in woken_s}
--- a/libs/entry/tests/test_stage_orders.py
+++ b/libs/entry/tests/test_stage_orders.py
@@ -1,4 +1,4 @@
-"""The host that orders engines' stages, before scripted engines and a store."""
+"""Stage orders of a host to scripted engines, under a lease in a store."""
 
 import asyncio
 import json
@@ -8,12 +8,12 @@
 
 
 class Engine:
-    """An engine that reports itself and takes orders, as a script.
+    """A scripted engine that reports its stage and accepts orders.
 
     Parameters
     ----------
-    answers : bool
-        Whether it answers orders; it carries them out in any case.
+    responds_to_orders : bool
+        Whether it responds to orders; it carries them out in any case.
     """
 
     def __init__(self, stage, responds_to_orders=True):
@@ -44,7 +44,7 @@
 
 
 async def make_all_prefill(harness):
-    """Have all engines read prompts only, as after the loss of the others."""
+    """Set all engines to the prefill stage, as after a loss of the decoding ones."""
     content = configuration(2, STREAM_ROUTE)
     content["services"][0]["engine"] = {"slots": 8, "switch_s": 2.5}
     harness.store.put("config", "main", content)
@@ -60,8 +60,8 @@
 
 
 def test_missing_stage_is_ordered_once_under_lease():
-    # The last engine that made tokens left. Until another one does, every request of a
-    # model is refused, and told when to come back.
+    # The last decoding engine left. Until another engine decodes, all requests of the
+    # service are refused, with the time after which to retry.
     engines = [Engine("prefill"), Engine("prefill")]
 
     async def scenario():
@@ -92,8 +92,8 @@
 
 
 def test_order_with_lost_response_takes_effect_once():
-    # The engine carries the order out and its answer is lost. The host finds the new
-    # stage in the engine's report, and orders nothing twice.
+    # The engine carries out the order and its response is lost. The host has to find
+    # the new stage in the engine's report, without ordering it again.
     engines = [
         Engine("prefill", responds_to_orders=False),
         Engine("prefill", responds_to_orders=False),
@@ -113,8 +113,8 @@
 
 
 def test_host_without_lease_orders_nothing():
-    # Another host took the lease, and this one doesn't hear it. Both see that a stage
-    # is missing; two that order at once would undo each other's changes.
+    # Another host holds the lease, and this host doesn't receive its updates. Both see
+    # the missing stage; if both ordered, they would undo each other's changes.
     engines = [Engine("prefill"), Engine("prefill")]
     held = {"holder": "host-9", "incarnation": "host-9/1", "term": 7}
     held |= {"duration_s": 60.0, "released": False, "nonce": "n", "open_terms": []}
--- a/libs/entry/tests/test_stall_monitor.py
+++ b/libs/entry/tests/test_stall_monitor.py
@@ -1,4 +1,4 @@
-"""Which endpoints count as silent."""
+"""Detection of silent endpoints."""
 
 import asyncio
 
@@ -8,7 +8,7 @@
 
 
 class MonitoredEndpoint:
-    """One endpoint, with a wait that is overdue after a second."""
+    """One endpoint with a response that is overdue after 1 s."""
 
     def __init__(self):
         record = EndpointRecord(
@@ -26,11 +26,11 @@
 
 
 def test_engine_busy_with_other_prefills_is_not_silent():
-    # Under a burst a late prompt waits for two seconds while timely ones are read. The
-    # engine was taken for silent, and left; its load then pressed on those that were
-    # left, until no engine counted as well.
+    # In a burst a late prompt waits 2 s while timely ones are prefilled. The engine was
+    # taken for silent and excluded; its load then moved to the others, until no engine
+    # counted as healthy.
     monitored = MonitoredEndpoint()
     monitored.state.on_answer_bytes(1.9)
     assert not monitored.is_avoided(2.0)
-    # With nothing at all from it, it is left.
+    # Without any response it is excluded.
     assert monitored.is_avoided(3.5)
--- a/libs/entry/tests/test_store_calls.py
+++ b/libs/entry/tests/test_store_calls.py
@@ -1,4 +1,4 @@
-"""How often many hosts together call the store."""
+"""Number of calls that many hosts together make to the store."""
 
 import asyncio
 
@@ -10,16 +10,16 @@
 from gypsumusher_standins.object_store import ObjectStore
 
 HOSTS, CHANGES = 8, 20
-# Of eight hosts four are active, and three of those watch the store for all.
+# Of eight hosts four are active, and three of these watch the store for all.
 WATCHERS = 3
-# Watches of the configuration that are renewed meanwhile, and a change that two
-# answers tell of.
+# Allowance for watches of the configuration that are renewed, and for a change that two
+# responses report.
 EXTRA_CALLS = 12
 PEERS_KNOWN_ON_ONE_MACHINE_S = 2.5
 
 
 class HostGroup:
-    """Eight hosts in one process, before one store."""
+    """Eight hosts in one process, with one store."""
 
     def __init__(self):
         self.store = ObjectStore()
@@ -50,7 +50,7 @@
         await self.store.close()
 
     async def until_watchers_agreed(self):
-        """Wait until the hosts agree on who watches, and the others have stopped."""
+        """Wait until the hosts agree on the watchers and no other host watches."""
         contexts = [host.context for host in self.hosts]
 
         def are_agreed():
@@ -58,8 +58,8 @@
             return len(watching) == WATCHERS and all(c.sees_store for c in watching)
 
         await until(are_agreed)
-        # An open watch ends with the next change, and isn't opened again by a host
-        # that has heard that others watch.
+        # An open watch ends with the next change; a host that knows that others watch
+        # doesn't open it again.
         while sum(context.sees_store for context in contexts) != WATCHERS:
             self.changes += 1
             self.store.put(
@@ -70,7 +70,7 @@
             await asyncio.sleep(0.1)
 
     async def calls_for_changes(self):
-        """Return how many calls for endpoints some changes of theirs bring about."""
+        """Return how many calls for endpoints some changes of endpoints cause."""
         before = len(self.store.calls)
         for beat in range(CHANGES):
             self.store.put("servers", "e-1", entry("127.0.0.1:8", beat=beat + 1000))
@@ -79,14 +79,14 @@
         return sum(path.endswith("/servers") for _, path in calls)
 
     async def until_endpoints_known(self):
-        """Wait until every host knows of both endpoints."""
+        """Wait until every host knows both endpoints."""
         await until(
             lambda: all(len(h.context.endpoints.states) == 2 for h in self.hosts)
         )
 
 
 def test_few_hosts_watch_the_store_for_all():
-    """Each change of an endpoint is read by every host, at the store's expense."""
+    """Each change of an endpoint was read by every host, at the store's expense."""
 
     async def scenario():
         async with HostGroup() as group:
@@ -99,8 +99,8 @@
 
 def test_few_hosts_watch_the_store_before_there_are_endpoints(monkeypatch):
     """At the first start each of hundreds of hosts watched an empty list."""
-    # Eight hosts on one busy machine may hear of each other later than hosts of their
-    # own do, and one that has heard of none rightly watches.
+    # Eight hosts on one busy machine may receive each other's updates later than hosts
+    # on machines of their own, and a host without updates watches as intended.
     monkeypatch.setattr(
         store_watcher, "PEERS_KNOWN_AFTER_S", PEERS_KNOWN_ON_ONE_MACHINE_S
     )
@@ -109,10 +109,10 @@
         group = HostGroup()
         try:
             await group.start()
-            # The others have decided by now whether they watch.
+            # By now the other hosts have decided whether they watch.
             await asyncio.sleep(PEERS_KNOWN_ON_ONE_MACHINE_S)
             calls = [path for _, path in group.store.calls if path.endswith("/servers")]
-            # Each lists them once.
+            # Each host lists the endpoints once.
             assert len(calls) <= HOSTS + WATCHERS
             group.store.put("servers", "e-0", entry("127.0.0.1:9"))
             group.store.put("servers", "e-1", entry("127.0.0.1:8"))
@@ -124,10 +124,10 @@
 
 
 def test_returning_store_is_watched_by_few_hosts():
-    """After an outage all hosts read each entry that comes back.
+    """After an outage all hosts read each entry that returned.
 
-    Entries that lapsed come back one by one within two seconds. For that long no host
-    knew all endpoints; none said that it saw the store, and so all watched it.
+    Expired entries return one by one within 2 s. During that time no host knew all
+    endpoints, so none reported that it saw the store, and all hosts watched it.
     """
 
     async def scenario():
