--- a/libs/entry/gypsumusher_entry/cmdline.py
+++ b/libs/entry/gypsumusher_entry/cmdline.py
@@ -60,6 +60,7 @@
 
 
 def _describe(settings):
+    """Return the output of ``--check`` for valid settings."""
     return f"settings of host {settings.name}: ok"
 
 
--- a/libs/entry/gypsumusher_entry/context.py
+++ b/libs/entry/gypsumusher_entry/context.py
@@ -323,14 +323,14 @@
             / self.expected_host_count()
         )
 
-    async def acquire(self, record, connection_limit, is_fresh=False):
+    async def acquire(self, record, connection_limit, requires_new=False):
         """Return a connection to one incarnation of an endpoint.
 
         The other parameters are those of `ConnectionPool.acquire`.
         """
         key = (*record.incarnation, record.address)
         return await self.connection_pool.acquire(
-            key, record.address, connection_limit, is_fresh
+            key, record.address, connection_limit, requires_new
         )
 
     def notify_prefill_start(self):
@@ -393,6 +393,7 @@
         self.connection_pool.close()
 
     def _on_background_done(self, task):
+        """Log the failure of a background task."""
         self._background_tasks.discard(task)
         if task.cancelled() or task.exception() is None:
             return
--- a/libs/entry/gypsumusher_entry/gossip.py
+++ b/libs/entry/gypsumusher_entry/gossip.py
@@ -104,6 +104,7 @@
         return
 
     async def _run(self):
+        """Send updates when the state changes and at the longest intervals."""
         while True:
             context = self._context
             await context.wait_for_tick(
--- a/libs/entry/gypsumusher_entry/metrics.py
+++ b/libs/entry/gypsumusher_entry/metrics.py
@@ -99,6 +99,7 @@
 
 
 def _create_collectors():
+    """Import the metrics library and create the collectors."""
     from aioprometheus import Counter, Gauge, Histogram, Registry
 
     registry = Registry()
--- a/libs/entry/gypsumusher_entry/peer_sync.py
+++ b/libs/entry/gypsumusher_entry/peer_sync.py
@@ -72,6 +72,7 @@
         self._client.close()
 
     async def _run(self):
+        """Sync from peers with newer state while the store is silent or late."""
         context = self._context
         while True:
             await context.wait_for_tick(CHECK_INTERVAL_S)
--- a/libs/entry/gypsumusher_entry/prefix_cache_recovery.py
+++ b/libs/entry/gypsumusher_entry/prefix_cache_recovery.py
@@ -21,7 +21,7 @@
 # which few of them are active.
 PEERS_KNOWN_AFTER_S = 0.7
 POLL_S = 0.1
-ANSWER_TIMEOUT_S = 1.0
+RESPONSE_TIMEOUT_S = 1.0
 
 
 class PrefixCacheRecovery:
@@ -43,6 +43,7 @@
             self._context.spawn(self._run())
 
     async def _run(self):
+        """Ask each recorded engine once, while this host is active."""
         context = self._context
         # Each call delays an engine's work. Hosts that don't know of each other yet all
         # count as active, and hundreds of them would ask every engine at once.
@@ -64,7 +65,7 @@
         context, record = self._context, state.record
         call = encode_cached_parts_request(record.address)
         try:
-            reply = await call_engine(context, record, call, ANSWER_TIMEOUT_S)
+            reply = await call_engine(context, record, call, RESPONSE_TIMEOUT_S)
             parts = decode_cached_parts(record.endpoint_id, reply.body)
         except (CallError, DecodeError, TimeoutError) as error:
             # Without its list the engine is treated as if its cache were empty.
--- a/libs/entry/gypsumusher_entry/registration.py
+++ b/libs/entry/gypsumusher_entry/registration.py
@@ -37,6 +37,7 @@
         self._context.spawn(self._run())
 
     async def _run(self):
+        """Make sure that this host is recorded, then read the records periodically."""
         if self._context.settings.is_first_start:
             await self._until_done(self._write)
             await self._until_done(self._read)
--- a/libs/entry/gypsumusher_entry/sending_to_endpoints.py
+++ b/libs/entry/gypsumusher_entry/sending_to_endpoints.py
@@ -87,8 +87,8 @@
     """Return a connection to an endpoint that still accepts new work."""
     record = state.record
     limit = context.connection_limit(record.service)
-    is_fresh = state.health.penalty(context.clock()) >= NEW_CONNECTION_PENALTY
-    connection = await context.acquire(record, limit, is_fresh)
+    requires_new = state.health.penalty(context.clock()) >= NEW_CONNECTION_PENALTY
+    connection = await context.acquire(record, limit, requires_new)
     if not context.endpoints.is_current(state):
         context.connection_pool.release(connection)
         raise CallError("connect", record.address, "left", False)
--- a/libs/entry/gypsumusher_entry/stage_lease.py
+++ b/libs/entry/gypsumusher_entry/stage_lease.py
@@ -83,10 +83,11 @@
         return self._lease.is_held(self._clock() + reserve_s)
 
     async def _run(self):
+        """Acquire the lease while this host should hold it, and renew it while held."""
         while True:
             await self._context.wait_for_tick(TICK_INTERVAL_S)
-            is_held = self._lease.is_held(self._clock())
-            if not (is_held or self._context.should_order_stages()):
+            holds_lease = self._lease.is_held(self._clock())
+            if not (holds_lease or self._context.should_order_stages()):
                 continue
             await self._perform(self._lease.tick(self._clock()))
 
@@ -112,6 +113,7 @@
         raise TypeError(f"unexpected lease effect: {type(effect).__name__}")
 
     async def _read(self, effect):
+        """Read the object that the lease asks for; return the resulting event."""
         result = await self._store.get(effect.kind, effect.name)
         if isinstance(result, Success):
             return ReadDone(effect.tag, _stored(result.unwrap()))
@@ -120,6 +122,7 @@
         return CallFailed(effect.tag, False)
 
     async def _write(self, effect):
+        """Write the object that the lease asks for; return the resulting event."""
         if effect.if_version == 0:
             result = await self._store.create(effect.kind, effect.name, effect.value)
         else:
@@ -144,4 +147,5 @@
 
 
 def _stored(item):
+    """Return an object of the store as the lease expects it."""
     return StoredObject(item.revision, item.content)
--- a/libs/entry/gypsumusher_entry/stage_orders.py
+++ b/libs/entry/gypsumusher_entry/stage_orders.py
@@ -62,6 +62,7 @@
         self._context.spawn(self._run())
 
     async def _run(self):
+        """Plan at each tick at which this host holds the lease for long enough."""
         while True:
             await self._context.wait_for_tick(PLAN_INTERVAL_S)
             if self._lease.is_held_for(MIN_LEASE_S):
--- a/libs/entry/gypsumusher_entry/stall_monitor.py
+++ b/libs/entry/gypsumusher_entry/stall_monitor.py
@@ -7,7 +7,7 @@
 
 import asyncio
 
-__all__ = ["StallMonitor", "PendingResponse"]
+__all__ = ["PendingResponse", "StallMonitor"]
 
 CHECK_INTERVAL_S = 0.1
 # A request that keeps waiting counts as another failure after this time, so that the
--- a/libs/entry/gypsumusher_entry/store_watcher.py
+++ b/libs/entry/gypsumusher_entry/store_watcher.py
@@ -144,6 +144,7 @@
         return True
 
     def _on_configurations(self, found, is_listing):
+        """Apply the configuration from a list or from changes of the store."""
         if is_listing:
             stored = found.objects
         else:
@@ -153,6 +154,7 @@
                 apply_stored_configuration(self._context, item, "store")
 
     def _on_endpoints(self, found, is_listing):
+        """Apply the endpoints from a list or from changes of the store."""
         if is_listing:
             _apply_endpoint_list(self._context, found)
             return
@@ -172,6 +174,7 @@
         context.endpoints.revision = max(context.endpoints.revision, found.revision)
 
     def _on_failure(self, kind, error):
+        """Record a failed call to the store; log the first one of an outage."""
         now_s = self._context.clock()
         if now_s - self._last_failure_s > RECENT_FAILURE_S:
             self._failing_since_s = now_s
@@ -192,6 +195,7 @@
         )
 
     def _on_answered(self, kind, reads_directly):
+        """Record an answered call; start a grace period after an outage."""
         context = self._context
         if kind in self._lost_kinds:
             self._lost_kinds.discard(kind)
@@ -284,6 +288,7 @@
 
 
 def _log_endpoint(context, record):
+    """Log a new or changed endpoint."""
     context.log(
         "info",
         "endpoint_changed",
--- a/libs/entry/gypsumusher_entry/stream_exchange.py
+++ b/libs/entry/gypsumusher_entry/stream_exchange.py
@@ -122,6 +122,7 @@
         return self._limits.role_change_s
 
     def _is_generation(self):
+        """Return whether the request has a prompt and its service has engines."""
         return self._generation is not None and self._limits is not None
 
     def _choose(self):
--- a/libs/entry/tests/host_harness.py
+++ b/libs/entry/tests/host_harness.py
@@ -40,10 +40,12 @@
 
 
 def run(coroutine):
+    """Run a test's coroutine with a time limit of 30 s."""
     return asyncio.run(asyncio.wait_for(coroutine, 30))
 
 
 def settings(store_address, ip="127.0.0.1", name="host-1", seeds=(), port=0):
+    """Return settings of a host with all ports assigned at start."""
     return HostSettings(
         name, ip, "zone-a", "region", f"{ip}:0", f"{ip}:0", f"{ip}:0", f"{ip}:0", port,
         seeds, store_address, False, 1.0, 1000.0, BOUNDS,
@@ -89,6 +91,7 @@
         return await ask(self.session, path, method, request_id, **headers)
 
     def arrivals(self):
+        """Return how many requests the endpoints have received."""
         return sum(len(endpoint.requests) for endpoint in self.endpoints)
 
 
--- a/libs/entry/tests/test_concurrent_choices.py
+++ b/libs/entry/tests/test_concurrent_choices.py
@@ -51,11 +51,13 @@
         self.context.prefill_listeners.append(self.gossip.on_prefill_start)
 
     def begin_prefill(self):
+        """Start a prefill at the engine, as an exchange does."""
         self.context.endpoints.states["e-1"].own_running += 1
         self.context.endpoints.states["e-1"].begin_prefill(PREFILL_S, TIMELY)
         self.context.notify_prefill_start()
 
     def sent(self):
+        """Return the messages sent since the last call."""
         sent, self.gossip._transport.sent = self.gossip._transport.sent, []
         return sent
 
--- a/libs/entry/tests/test_host.py
+++ b/libs/entry/tests/test_host.py
@@ -487,6 +487,8 @@
 
 
 def stream_of(events, is_ended=True):
+    """Return a script that streams events, or breaks off in the fourth one."""
+
     async def script(number, head, body, writer):
         first = 0
         if b"Last-Event-Id: " in head:
--- a/libs/entry/tests/test_host_api.py
+++ b/libs/entry/tests/test_host_api.py
@@ -5,6 +5,7 @@
 
 
 async def get(host, name, path, method="GET"):
+    """Send a request to one of the host's listeners; return status and body."""
     async with aiohttp.ClientSession() as session:
         url = f"http://{host.addresses[name]}{path}"
         async with session.request(method, url) as answer:
--- a/libs/entry/tests/test_peer_sync.py
+++ b/libs/entry/tests/test_peer_sync.py
@@ -147,6 +147,7 @@
 
 
 def records(count):
+    """Return the records of some endpoints."""
     return tuple(
         EndpointRecord(
             f"i-{number:08x}", 1700000000000 + number, "llm",
@@ -158,6 +159,7 @@
 
 
 def sync_response(routes=1, endpoints=1):
+    """Return a response with a number of routes and endpoints."""
     content = configuration(7, *many_routes(routes, IDEMPOTENT_ROUTE))
     stored = StoredObject("main", 5, content, None)
     return SyncResponse(stored, records(endpoints), 9, True)
--- a/libs/entry/tests/test_prefix_cache_recovery.py
+++ b/libs/entry/tests/test_prefix_cache_recovery.py
@@ -44,6 +44,8 @@
 
 
 def asked_within(seconds, is_active):
+    """Return how many engines a starting host has asked after some seconds."""
+
     async def scenario():
         host = StartingHost(is_active)
         await PrefixCacheRecovery(host).start()
--- a/libs/entry/tests/test_registration.py
+++ b/libs/entry/tests/test_registration.py
@@ -39,6 +39,7 @@
 
 
 def create_context(is_watcher=True):
+    """Return a settable clock and the context of a host that uses it."""
     clock = SimpleNamespace(now_s=0.0)
     return clock, SimpleNamespace(
         settings=SimpleNamespace(
@@ -80,6 +81,8 @@
 
 
 def reread_at(clock, registration, now_s):
+    """Read the records and delete those of silent hosts, at a given time."""
+
     async def run():
         clock.now_s = now_s
         assert await registration._reread()
--- a/libs/entry/tests/test_retry_budget.py
+++ b/libs/entry/tests/test_retry_budget.py
@@ -150,6 +150,7 @@
         )
 
     def receive_update(self, now_s, number):
+        """Receive the record and a status of another host."""
         self.context.hosts.on_record(now_s, f"host-{number}", f"127.0.0.{number + 1}")
         self.context.hosts.on_status(
             now_s,
--- a/libs/entry/tests/test_stage_orders.py
+++ b/libs/entry/tests/test_stage_orders.py
@@ -56,6 +56,7 @@
 
 
 def orders_of(engines):
+    """Return all orders that the engines received."""
     return [order for engine in engines for order in engine.orders]
 
 
