--- a/libs/entry/gypsumusher_entry/prefill.py
+++ b/libs/entry/gypsumusher_entry/prefill.py
@@ -1,4 +1,4 @@
-"""Prompts that are read apart, by an engine that hands its KV cache on."""
+"""Prefill on a separate engine, which hands its KV cache to the decoding one."""
 
 from gypsumusher_entry.errors import OverloadedError
 from gypsumusher_entry.sending_to_endpoints import (
@@ -18,43 +18,43 @@
     urgency_of,
 )
 
-__all__ = ["PrefilledPrompt", "record_prefill", "prefill_prompt"]
+__all__ = ["PrefilledPrompt", "prefill_prompt", "record_prefill"]
 
-# Engines that are asked to read one prompt; after that the engine that makes the tokens
-# reads it itself.
-MAX_READERS = 2
-# Time for a call that frees a handle, in seconds; it lapses by itself soon after.
-FREE_TIMEOUT_S = 1.0
+# Limits the engines asked for a separate prefill of one prompt; after that the engine
+# that decodes prefills it itself.
+MAX_PREFILL_ENGINES = 2
+# Time limit of a call that frees a handle; the handle expires by itself soon after.
+FREE_HANDLE_TIMEOUT_S = 1.0
 
 
 class PrefilledPrompt:
-    """A prompt that an engine has read and keeps for a while.
+    """A prompt whose KV cache an engine keeps for a while.
 
     Parameters
     ----------
     state : EndpointState
         The engine.
-    answer : PrefillResult
-        What it said.
+    response : PrefillResult
+        The engine's response.
     """
 
-    def __init__(self, state, answer):
+    def __init__(self, state, response):
         self.state = state
-        self.handle = answer.handle
+        self.handle = response.handle
 
     @property
     def source(self):
-        """Where the KV cache lies, for the engine that fetches it."""
+        """Location of the KV cache, for the engine that fetches it."""
         return f"{self.state.record.address}/{self.handle}"
 
     async def free(self, context):
-        """Have the engine free it: nobody will take it any more."""
+        """Have the engine free the KV cache, which no engine will fetch any more."""
         record = self.state.record
         call = encode_handle_release(record.address, self.handle)
         try:
-            await call_engine(context, record, call, FREE_TIMEOUT_S)
+            await call_engine(context, record, call, FREE_HANDLE_TIMEOUT_S)
         except (CallError, TimeoutError) as error:
-            # It lapses by itself; until then it takes memory from others.
+            # The handle expires by itself; until then it occupies memory.
             context.log(
                 "info",
                 "handle_not_freed",
@@ -64,77 +64,79 @@
 
 
 async def prefill_prompt(exchange, limits):
-    """Have the prompt read apart, where that is expected to be done first.
+    """Prefill the prompt on a separate engine, where that is expected to be faster.
 
     Parameters
     ----------
     exchange : Exchange
         The request.
     limits : EngineLimits
-        What the engines have in common.
+        Limits that all engines of the service have in common.
 
     Returns
     -------
     PrefilledPrompt or None
-        None when the engine that makes the tokens is to read it.
+        None when the engine that decodes is to prefill the prompt.
 
     Raises
     ------
     NoRetryError
-        When an engine hasn't read it, and it may not be sent again.
+        When an engine failed to prefill the prompt and it may not be sent again.
     OverloadedError
-        When no engine would begin before the caller gives up.
+        When no engine would start before the caller gives up.
     """
     context = exchange.context
-    tried = set()
-    for _ in range(MAX_READERS):
+    tried_ids = set()
+    for _ in range(MAX_PREFILL_ENGINES):
         states = context.endpoints.of_service(exchange.service)
-        states = [s for s in states if s.record.endpoint_id not in tried]
-        fleet = context.fleet(exchange.service, limits, states)
-        reading = choose_prefill(context.clock(), fleet, exchange.wish, context.draw)
-        if reading is None:
+        states = [s for s in states if s.record.endpoint_id not in tried_ids]
+        engine_pool = context.engine_pool(exchange.service, limits, states)
+        prefill = choose_prefill(
+            context.clock(), engine_pool, exchange.routing_request, context.draw_uniform
+        )
+        if prefill is None:
             return None
-        if reading.lane == HOPELESS:
+        if prefill.lane == HOPELESS:
             raise OverloadedError(
-                reading.expected_s, exchange.first_event_limits.abandoned_s
+                prefill.expected_s, exchange.first_event_limits.abandoned_s
             )
-        if not reading.is_disaggregated:
+        if not prefill.is_disaggregated:
             return None
         exchange.reserve_send()
-        tried.add(reading.state.record.endpoint_id)
-        exchange.waits_at = reading.state.record.endpoint_id
-        prompt = await _read_at(exchange, reading)
-        exchange.waits_at = None
+        tried_ids.add(prefill.state.record.endpoint_id)
+        exchange.prefill_endpoint_id = prefill.state.record.endpoint_id
+        prompt = await _prefill_at(exchange, prefill)
+        exchange.prefill_endpoint_id = None
         if prompt is not None:
             return prompt
     return None
 
 
-async def _read_at(exchange, reading):
-    """Have one engine read the prompt; None when it doesn't."""
-    context, state = exchange.context, reading.state
+async def _prefill_at(exchange, prefill):
+    """Have one engine prefill the prompt; return None when it doesn't."""
+    context, state = exchange.context, prefill.state
     send = SendOptions(
         state.record.endpoint_id,
-        exchange.patience_s,
-        urgency=urgency_of(exchange.route.priority, reading.lane),
+        exchange.endpoint_time_limit_s,
+        urgency=urgency_of(exchange.route.priority, prefill.lane),
         is_prefill=True,
-        kv_fetch=reading.fetch_address,
+        kv_fetch=prefill.fetch_address,
     )
     began_s = context.clock()
     state.own_running += 1
-    state.begin_prefill(reading.cost_s, reading.lane)
+    state.begin_prefill(prefill.cost_s, prefill.lane)
     parts = exchange.request.generation.parts
-    context.note_placement(state, parts, wait_s=reading.expected_s)
-    context.note_reading_begun()
-    learnt = context.learnt(exchange.service)
-    limit_s = learnt.prefill_timeout_s(state.stage, reading.expected_s)
+    context.record_prefix_placement(state, parts, wait_s=prefill.expected_s)
+    context.notify_prefill_start()
+    cost_model = context.cost_model(exchange.service)
+    limit_s = cost_model.prefill_timeout_s(state.stage, prefill.expected_s)
     longest_s = exchange.first_event_limits.abandoned_s
-    if reading.lane != TIMELY:
-        # Asked for elsewhere it would stand last again.
+    if prefill.lane != TIMELY:
+        # At another engine the prompt would start at the end of the queue again.
         limit_s = longest_s
     try:
         async with silence_timeout(exchange, limit_s, longest_s):
-            answer = await _ask(exchange, state, send)
+            response = await _request_prefill(exchange, state, send)
     except TimeoutError:
         reason = "behind" if state.has_answered_since(began_s) else "silent"
         error = CallError("prefill", state.record.address, reason, False)
@@ -145,55 +147,57 @@
         return None
     finally:
         state.own_running -= 1
-        state.end_prefill(reading.cost_s, reading.lane)
-    exchange.account.on_prompt_accepted()
+        state.end_prefill(prefill.cost_s, prefill.lane)
+    exchange.send_counter.on_prompt_accepted()
     took_s = context.clock() - began_s
     state.on_answer_bytes(context.clock())
-    record_prefill(exchange, reading, took_s)
+    record_prefill(exchange, prefill, took_s)
     state.health.on_success(context.clock())
-    context.note_placement(state, parts)
+    context.record_prefix_placement(state, parts)
     exchange.log(
         "info",
         "prompt_read",
         endpoint=state.record.endpoint_id,
         tokens=exchange.request.generation.prompt_tokens,
-        kept=reading.cached_tokens,
-        fetched_from=reading.fetch_address,
-        lane=reading.lane,
-        queue_ms=round(reading.queue_s * 1000),
-        expected_ms=round(reading.expected_s * 1000),
+        kept=prefill.cached_tokens,
+        fetched_from=prefill.fetch_address,
+        lane=prefill.lane,
+        queue_ms=round(prefill.queue_s * 1000),
+        expected_ms=round(prefill.expected_s * 1000),
         took_ms=round(took_s * 1000),
-        cost_ms=round(reading.cost_s * 1000),
+        cost_ms=round(prefill.cost_s * 1000),
         pace=round(state.slowdown.factor(context.clock()), 2),
-        margin=round(learnt.margin(state.stage), 2),
+        margin=round(cost_model.margin(state.stage), 2),
     )
-    return PrefilledPrompt(state, answer)
-
-
-def record_prefill(exchange, reading, took_s):
-    """Take in what a reading took, in seconds."""
-    context, state = exchange.context, reading.state
-    seen = PrefillObservation(
-        "prefill" if reading.is_disaggregated else "decode",
-        reading.lane,
-        reading.new_tokens,
-        reading.cached_tokens,
-        reading.fetch_s,
-        reading.cost_s,
-        reading.queue_s,
+    return PrefilledPrompt(state, response)
+
+
+def record_prefill(exchange, prefill, took_s):
+    """Record how long a prefill took, in seconds."""
+    context, state = exchange.context, prefill.state
+    observation = PrefillObservation(
+        "prefill" if prefill.is_disaggregated else "decode",
+        prefill.lane,
+        prefill.new_tokens,
+        prefill.cached_tokens,
+        prefill.fetch_s,
+        prefill.cost_s,
+        prefill.queue_s,
         took_s,
     )
-    context.learnt(exchange.service).on_prefill(context.clock(), state.slowdown, seen)
+    context.cost_model(exchange.service).on_prefill(
+        context.clock(), state.slowdown, observation
+    )
 
 
-async def _ask(exchange, state, send):
-    """Send the prompt to one engine; return what it says of it."""
-    answer = await start_send(exchange, state, send)
+async def _request_prefill(exchange, state, send):
+    """Send the prompt to one engine; return its decoded response."""
+    response = await start_send(exchange, state, send)
     try:
-        head = await answer.head()
-        body = await answer.body()
+        head = await response.head()
+        body = await response.body()
     finally:
-        answer.close()
+        response.close()
     peer = state.record.address
     if head.is_wrong_endpoint:
         exchange.context.endpoints.on_wrong_endpoint(state.record.endpoint_id)
--- a/libs/entry/tests/test_registration.py
+++ b/libs/entry/tests/test_registration.py
@@ -11,7 +11,7 @@
 
 
 class RecordStore:
-    """The store's records, as one host after another reads and writes them."""
+    """A store of host records that several hosts read and write."""
 
     def __init__(self, *names):
         self.records = {name: {"ip": "10.0.0.9", "zone": "a"} for name in names}
@@ -39,6 +39,7 @@
 
 
 def create_context(is_watcher=True):
+    """Return a settable clock and the context of a host that uses it."""
     clock = SimpleNamespace(now_s=0.0)
     return clock, SimpleNamespace(
         settings=SimpleNamespace(
@@ -51,9 +52,9 @@
     )
 
 
-async def start_and_settle(store, context):
-    """Start a registration, and let it do all that needs no waiting."""
-    context.draw = lambda: 0.5
+async def start_until_idle(store, context):
+    """Start a registration and run it until it waits."""
+    context.draw_uniform = lambda: 0.5
     context.spawn = asyncio.ensure_future
     task = asyncio.ensure_future(Registration(context, store)._run())
     for _ in range(20):
@@ -61,25 +62,27 @@
     task.cancel()
 
 
-def test_hosts_that_all_start_again_do_not_write_records_that_stand():
-    """After the loss of all hosts each called the store three times for its record."""
+def test_restarting_hosts_do_not_rewrite_existing_records():
+    """After a loss of all hosts each called the store three times for its record."""
     store = RecordStore("host-2")
     store.records["host-1"] = {"ip": "10.0.0.1", "zone": "a"}
     store.create = store.replace = None
     _, context = create_context()
-    asyncio.run(start_and_settle(store, context))
+    asyncio.run(start_until_idle(store, context))
     assert list(context.hosts.addresses()) == ["host-2"]
 
 
-def test_a_host_at_a_new_address_writes_its_record_anew():
-    """A host came back elsewhere, and its peers went on calling its old address."""
+def test_host_at_new_address_rewrites_its_record():
+    """A host restarted at a new address, and its peers kept calling the old one."""
     store = RecordStore("host-1")
     _, context = create_context()
-    asyncio.run(start_and_settle(store, context))
+    asyncio.run(start_until_idle(store, context))
     assert store.records["host-1"]["ip"] == "10.0.0.1"
 
 
 def reread_at(clock, registration, now_s):
+    """Read the records and delete those of silent hosts, at a given time."""
+
     async def run():
         clock.now_s = now_s
         assert await registration._reread()
@@ -88,8 +91,8 @@
     asyncio.run(run())
 
 
-def test_the_record_of_a_host_that_is_gone_is_deleted_by_a_host_that_watches():
-    """Records of replaced hosts stay for ever, and every host goes on calling them."""
+def test_record_of_lost_host_is_deleted_by_watching_host():
+    """Records of replaced hosts stayed for ever, and all hosts kept calling them."""
     store = RecordStore("host-1", "host-2")
     clock, context = create_context()
     registration = Registration(context, store)
@@ -102,8 +105,8 @@
     assert not context.hosts.addresses()
 
 
-def test_a_host_that_does_not_watch_leaves_the_records_alone():
-    """Three hundred hosts each delete the same record, at the store's expense."""
+def test_host_without_watch_deletes_no_records():
+    """Three hundred hosts each deleted the same record, at the store's expense."""
     store = RecordStore("host-1", "host-2")
     clock, context = create_context(is_watcher=False)
     registration = Registration(context, store)
@@ -112,12 +115,12 @@
     assert "host-2" in store.records
 
 
-def test_hosts_that_never_speak_to_each_other_stay_known_by_their_records():
-    """Callers find too few hosts after the loss of those that they were sent to.
+def test_hosts_without_direct_updates_stay_known_by_records():
+    """Callers found too few hosts after the loss of the active ones.
 
-    The other hosts speak to the active ones only. Each minute they forgot each other,
-    until the records were read again; if the active ones were lost meanwhile, they did
-    not hear of each other.
+    Inactive hosts send updates only to the active ones. They forgot each other every
+    minute until they read the records again; if the active hosts were lost meanwhile,
+    they didn't find each other.
     """
     store = RecordStore("host-1", "host-2", "host-3")
     clock, context = create_context(is_watcher=False)
@@ -130,10 +133,10 @@
     assert list(context.hosts.addresses()) == ["host-2"]
 
 
-def test_a_host_that_begins_to_watch_listens_before_it_deletes_records():
-    """The active hosts are lost, and the next one deletes the records of all others.
+def test_new_watcher_waits_before_it_deletes_records():
+    """The active hosts were lost, and the next one deleted the records of all others.
 
-    They have not spoken to it for hours, since it was not active.
+    The others hadn't sent it updates for hours, since it was not active.
     """
     store = RecordStore("host-1", "host-2")
     clock, context = create_context(is_watcher=False)
@@ -148,10 +151,10 @@
     assert list(store.records) == ["host-1"]
 
 
-def test_a_host_that_was_taken_for_gone_writes_its_record_again():
-    """A host is cut off for a minute, and nobody ever speaks to it again.
+def test_host_with_deleted_record_writes_it_again():
+    """A host was cut off for a minute, and no other host ever contacted it again.
 
-    The others have deleted its record meanwhile; it wrote that at its start only.
+    The others had deleted its record meanwhile, and it wrote that at its start only.
     """
     store = RecordStore("host-1")
     clock, context = create_context()
