--- a/libs/entry/gypsumusher_entry/metrics.py
+++ b/libs/entry/gypsumusher_entry/metrics.py
@@ -107,29 +107,29 @@
         registry=registry,
         requests=Counter(
             "gypsumusher_requests_total",
-            "Callers' requests by route and outcome",
+            "Requests of callers by route and outcome",
             registry=registry,
         ),
         running=Gauge(
             "gypsumusher_requests_running",
-            "Requests being served",
+            "Requests that are being served",
             registry=registry,
         ),
         total_time=Histogram(
             "gypsumusher_answer_s",
-            "Time from arrival to the end of the response",
+            "Arrival to the end of the answer",
             buckets=HISTOGRAM_BUCKETS_S,
             registry=registry,
         ),
         first_output_time=Histogram(
             "gypsumusher_first_s",
-            "Time from arrival to the response, for streams to the first event",
+            "Arrival to the answer, of a stream to its first event",
             buckets=HISTOGRAM_BUCKETS_S,
             registry=registry,
         ),
         stage_orders=Counter(
             "gypsumusher_stage_orders_total",
-            "Stage orders to engines, by stage and outcome",
+            "Orders that change an engine's stage, by stage and outcome",
             registry=registry,
         ),
         version=Gauge(
@@ -139,7 +139,7 @@
         ),
         lag=Gauge(
             "gypsumusher_news_lag_s",
-            "Time for which peers have had newer state, by kind",
+            "Time for which peers have known more, by kind of news",
             registry=registry,
         ),
     )
