--- a/libs/coordination/gypsumusher_coordination/claims.py
+++ b/libs/coordination/gypsumusher_coordination/claims.py
@@ -1,14 +1,16 @@
-"""Claiming a key of the caller's own, which names no home, by one conditional create.
+"""Claim of a caller's own idempotency key by one conditional create on the platform.
 
 Notes
 -----
-Two hosts may be asked to run such a key at once, so the platform decides: the first
-create wins, and the object names the home that may run it. One write a request is the
-price. Requiring a minted key instead would cost less but turn away callers whose keys
-come from their own books ("booking-123").
-
-The home in the object runs the key at most once by its own memory. When that home is
-gone the outcome is unknown: the object says that it might have been sent.
+A key that the caller chose doesn't encode an owner, and two hosts may be asked to run
+it at once. The platform decides: the first create wins, and the created object names
+the owner, the one host incarnation that may run the key. This costs one write per
+request. Requiring a minted key would cost less but would exclude callers whose keys
+come from their own records ("booking-123").
+
+The owner runs the key at most once by its in-memory key table. Once the owner is gone
+the outcome is unknown, because the claim only shows that the request may have been
+sent.
 """
 
 from gypsumusher_coordination.effects import (
@@ -25,30 +27,30 @@
 from gypsumusher_coordination.keys import claim_name
 
 CLAIM_KIND = "claims"
-# Stands as home and fingerprint in the claim of a key that is to be run by nobody.
+# Value of ``home`` and ``fingerprint`` in the claim of a key that no host may run.
 WITHDRAWN = "withdrawn"
 
-# The caller waits meanwhile, so the retry is quick and the whole wait short: the
-# caller then hears that the outcome is unknown, and when to come back with its key.
-RETRY_S = 0.1
+# The caller waits during the claim. After the timeout it is told that the outcome is
+# unknown and when to retry with its key.
+RETRY_DELAY_S = 0.1
 CLAIM_TIMEOUT_S = 2.0
 
 
 class CallerKeyClaim:
-    """One attempt of one host to become the home of a caller's own key.
+    """One attempt of one host to become the owner of a caller's key.
 
     Parameters
     ----------
     key : str
         The caller's key.
     incarnation : str
-        The home if the claim wins; `WITHDRAWN` to see to it that nobody runs the key.
+        The owner if this claim wins, or `WITHDRAWN` so that no host may run the key.
     fingerprint : str
         Digest of the request's content.
     nonce : str
         Random id of this attempt, by which it recognises its own write.
     timeout_s : float, optional
-        The attempt is refused when it isn't settled after this time.
+        Time in seconds after which an undecided attempt is refused.
     """
 
     def __init__(self, key, incarnation, fingerprint, nonce, timeout_s=CLAIM_TIMEOUT_S):
@@ -59,7 +61,7 @@
         self._wait_s = timeout_s
         self._deadline_s = None
         self._retry_at_s = None
-        self._is_unsettled = False
+        self._must_read = False
         self._is_done = False
         self._call_tag = None
         self._calls = 0
@@ -70,7 +72,7 @@
         return self._is_done
 
     def start(self, now_s):
-        """Send the create.
+        """Start the attempt with the conditional create.
 
         Parameters
         ----------
@@ -80,7 +82,8 @@
         Returns
         -------
         list
-            Effects; `ClaimGranted`, `ClaimOwnedElsewhere` or `ClaimRefused` at the end.
+            Effects. The last effect of an attempt, from `start`, `tick` or `handle`,
+            is `ClaimGranted`, `ClaimOwnedElsewhere` or `ClaimRefused`.
         """
         if self._deadline_s is not None:
             return []
@@ -88,7 +91,7 @@
         return [self._create()]
 
     def tick(self, now_s):
-        """Repeat a failed call when due, or give up when the wait is over.
+        """Repeat a failed call when due; refuse the claim after the timeout.
 
         Parameters
         ----------
@@ -103,28 +106,28 @@
         if self._is_done or self._deadline_s is None:
             return []
         if now_s >= self._deadline_s:
-            # Guards against a false "not run": the caller repeats its key here after
-            # the request ran through another host, and the object that says so can't
-            # be read now. Only the home of a minted key knows that nobody ran it. A
-            # create in flight may still land; the attempt is over and never grants
-            # the key.
+            # Refused as "unknown", not "no": the request may have run through another
+            # host before the caller repeated its key here, and the claim object can't
+            # be read now. Only for a minted key can its owner tell that no host ran
+            # it. A create in flight may still take effect, but a finished attempt
+            # never grants the key.
             return self._end(ClaimRefused(self.key, "journal_unavailable", "unknown"))
         if self._retry_at_s is None or now_s < self._retry_at_s:
             return []
         self._retry_at_s = None
-        if self._is_unsettled:
+        if self._must_read:
             return [ReadObject(self._next_tag(), CLAIM_KIND, claim_name(self.key))]
         return [self._create()]
 
     def handle(self, now_s, event):
-        """Take the answer to a call.
+        """Handle the response to a call.
 
         Parameters
         ----------
         now_s : float
             Reading of this host's clock, in seconds.
         event : ReadDone, WriteDone, WriteConflict or CallFailed
-            The answer. Answers to other calls than the one in flight are ignored.
+            The response. Events of any call but the one in flight are ignored.
 
         Returns
         -------
@@ -135,27 +138,28 @@
             return []
         self._call_tag = None
         if isinstance(event, CallFailed):
-            # A create whose answer is lost may have made this host the home, so the
-            # object is read before anything is said.
-            self._is_unsettled = self._is_unsettled or event.sent
-            self._retry_at_s = now_s + RETRY_S
+            # A create whose response was lost may have made this host the owner, so
+            # the object is read before the attempt ends.
+            self._must_read = self._must_read or event.sent
+            self._retry_at_s = now_s + RETRY_DELAY_S
             return []
         if isinstance(event, WriteDone):
             return self._end(ClaimGranted(self.key))
         if not isinstance(event, (ReadDone, WriteConflict)):
-            raise TypeError(f"event: no answer to a claim's call: {event!r}")
-        self._is_unsettled = False
+            raise TypeError(f"event: not a response to a call of a claim: {event!r}")
+        self._must_read = False
         if event.stored is None:
-            # The lost create hasn't landed. Creating again either wins or meets it.
-            # With a pause, as a platform that answers a create so would be beaten on.
-            self._retry_at_s = now_s + RETRY_S
+            # The lost create has not taken effect. A second create either wins or
+            # conflicts with it. The delay keeps the calls rare when the platform
+            # reports a conflict without an object.
+            self._retry_at_s = now_s + RETRY_DELAY_S
             return []
-        return self._end(self._answer_to(event.stored.value))
+        return self._end(self._decide(event.stored.value))
 
-    def _answer_to(self, value):
-        # Guards against the lost answer: the nonce tells this attempt's own write
-        # from that of another host, and from one that this host made earlier and may
-        # have sent already.
+    def _decide(self, value):
+        # After a lost response the nonce distinguishes this attempt's write from that
+        # of another host, and from that of an earlier attempt of this host, which may
+        # have sent the request already.
         if value["nonce"] == self._nonce:
             return ClaimGranted(self.key)
         if WITHDRAWN in (self._incarnation, value["home"]):
@@ -170,8 +174,8 @@
             "fingerprint": self._fingerprint,
             "nonce": self._nonce,
         }
-        # Version zero guards against two hosts with the same key at once: the second
-        # create conflicts, and that host learns who the home is.
+        # Version zero makes the second of two concurrent creates conflict, and the
+        # conflict tells its host who the owner is.
         name = claim_name(self.key)
         return WriteObject(self._next_tag(), CLAIM_KIND, name, value, 0)
 
--- a/libs/coordination/gypsumusher_coordination/effects.py
+++ b/libs/coordination/gypsumusher_coordination/effects.py
@@ -1,15 +1,19 @@
-"""The effects that coordination machines return and the events that they take."""
+"""Effects that the coordination state machines return, and events that they handle.
+
+An effect asks the caller of the state machine to do something. An event reports how a
+platform call ended and carries the tag of its effect.
+"""
 
 from typing import Any, NamedTuple
 
 
 class StoredObject(NamedTuple):
-    """One object as it stands on the platform.
+    """One object on the platform with its version.
 
     Parameters
     ----------
     version : int
-        The store-wide revision of the object's last change, above zero.
+        Store-wide revision of the object's last change, greater than zero.
     value : object
         The object's JSON value.
     """
@@ -24,7 +28,7 @@
     Parameters
     ----------
     tag : str
-        Names this call; the answer's event carries the same tag.
+        Id of this call; its event carries the same tag.
     kind, name : str
         The object's kind and name.
     """
@@ -35,18 +39,18 @@
 
 
 class WriteObject(NamedTuple):
-    """Effect: write one object if its version is still the one named.
+    """Effect: write one object by compare-and-set on its version.
 
     Parameters
     ----------
     tag : str
-        Names this call; the answer's event carries the same tag.
+        Id of this call; its event carries the same tag.
     kind, name : str
         The object's kind and name.
     value : object
         The new JSON value. The receiver must not change it.
     if_version : int
-        The version that must stand now; zero when the object must not exist.
+        The version that the object must have; zero when it must not exist.
     """
 
     tag: str
@@ -57,16 +61,16 @@
 
 
 class DeleteObject(NamedTuple):
-    """Effect: delete one object if its version is still the one named.
+    """Effect: delete one object by compare-and-set on its version.
 
     Parameters
     ----------
     tag : str
-        Names this call; the answer's event carries the same tag.
+        Id of this call; its event carries the same tag.
     kind, name : str
         The object's kind and name.
     if_version : int
-        The version that must stand now.
+        The version that the object must have.
     """
 
     tag: str
@@ -76,14 +80,14 @@
 
 
 class ReadDone(NamedTuple):
-    """Event: a read was answered.
+    """Event: a read succeeded.
 
     Parameters
     ----------
     tag : str
         The call's tag.
     stored : StoredObject or None
-        The object, or None when there is none.
+        The object, or None when it doesn't exist.
     """
 
     tag: str
@@ -106,14 +110,14 @@
 
 
 class WriteConflict(NamedTuple):
-    """Event: a write or a delete had no effect as another version stands.
+    """Event: a write or a delete had no effect because the version differed.
 
     Parameters
     ----------
     tag : str
         The call's tag.
     stored : StoredObject or None
-        What stands now, or None when there is no object.
+        The current object, or None when it doesn't exist.
     """
 
     tag: str
@@ -121,14 +125,14 @@
 
 
 class CallFailed(NamedTuple):
-    """Event: a call got no usable answer (cut, timeout, outage, throttled).
+    """Event: a call got no usable response (lost, timed out, outage, throttled).
 
     Parameters
     ----------
     tag : str
         The call's tag.
     sent : bool
-        True when the call may have taken effect, also later than this event.
+        True when the call may have taken effect, or may still do so after this event.
     """
 
     tag: str
@@ -136,7 +140,7 @@
 
 
 class ClaimGranted(NamedTuple):
-    """Effect: the one licence to send the request that carries this key.
+    """Effect: the request with this key may be sent; granted at most once per key.
 
     Parameters
     ----------
@@ -148,18 +152,18 @@
 
 
 class ClaimRefused(NamedTuple):
-    """Effect: this claim gives no licence to send the request.
+    """Effect: the request with this key may not be sent for this claim.
 
     Parameters
     ----------
     key : str
         The idempotency key.
     code : str
-        The reason. The refusal codes of callers, or "done" when this host has
-        answered the key already and the answer is in its record.
+        The reason: a refusal code for callers, or "done" when this host has already
+        completed the request and keeps its response.
     run : str
-        "no" when nothing of the request ran or ever will run under this key,
-        else "unknown".
+        "no" when no part of the request ran or will run under this key, otherwise
+        "unknown".
     """
 
     key: str
@@ -168,14 +172,14 @@
 
 
 class ClaimOwnedElsewhere(NamedTuple):
-    """Effect: another home holds the key; forward the request to it.
+    """Effect: another owner holds the key; forward the request to it.
 
     Parameters
     ----------
     key : str
         The idempotency key.
     owner : str
-        The incarnation that holds the key.
+        The host incarnation that may run the key, or the marker of a withdrawn key.
     """
 
     key: str
@@ -183,18 +187,18 @@
 
 
 class OwnJournalSealed(NamedTuple):
-    """Effect: the home's own journal is sealed and takes no further key."""
+    """Effect: this host's own journal is sealed and takes no further keys."""
 
 
 class PeerJournalSealed(NamedTuple):
-    """Effect: another home's journal is sealed, so its record is final.
+    """Effect: another host's journal is sealed, so its entries are final.
 
     Parameters
     ----------
     incarnation : str
-        The home whose journal was sealed.
+        The owner of the journal.
     keys : dict of str to str
-        The fingerprint of each key that the sealer read.
+        Fingerprint by key, for each key in the journal's remaining segments.
     """
 
     incarnation: str
@@ -202,14 +206,14 @@
 
 
 class Probe(NamedTuple):
-    """Effect: send this message to a host of the cell and take its answer.
+    """Effect: send a probe to a host of the cell and return its response.
 
     Parameters
     ----------
     host : str
         The host.
     message : dict
-        Plain strings, numbers, lists and maps.
+        Only strings, numbers, booleans, lists and dicts.
     """
 
     host: str
@@ -217,4 +221,4 @@
 
 
 CallEvent = ReadDone | WriteDone | WriteConflict | CallFailed
-"""Any answer of the platform to a call."""
+"""Any event that ends a platform call."""
--- a/libs/coordination/gypsumusher_coordination/journal.py
+++ b/libs/coordination/gypsumusher_coordination/journal.py
@@ -1,26 +1,26 @@
-"""The journal in which a home records each key on the platform before it runs it.
+"""Claim journal: the owner of a key records it on the platform before running it.
 
 Notes
 -----
-A minted key names its home, and only that home's incarnation is ever granted it, so
-two hosts can't both run a request: no lease and no clock takes part in the argument.
-The journal serves the other promise, that "not run" is true when the home has died.
-A key is granted only after it stands in a segment on the platform, and a survivor
-seals the segments by conditional writes before it says anything. A key that is absent
-from a sealed journal was therefore never granted and never will be.
-
-Segments form a chain without gaps: the home creates segment N + 1 only after segment
-N stood on the platform. A survivor that has sealed all segments and created the next
-one sealed has therefore shut the home out, wherever the home was paused.
-
-Deployments may allow running without the journal while the platform is down
-(``run_unjournaled``). Absence proves nothing for such a key, so the key itself has to
-say so: it carries another prefix. A flag in the journal instead would have to be
-written before the outage that it is for, and would turn each key of the incarnation
-into "unknown" after a crash, also those of deployments that refuse. A flag in the key
-needs no platform, holds for exactly the keys concerned, and reaches whoever asks. Its
-price: a key minted without the flag is refused during an outage, and its caller mints
-another one.
+A minted key encodes its owner, and only that host incarnation is ever granted the key.
+Two hosts therefore can't both run a request; this depends neither on a lease nor on a
+clock. The journal makes a "not run" outcome reliable after the owner has died. A key is
+granted only after it has been written to a segment on the platform, and a surviving
+host seals the segments by conditional writes before it reports any outcome. A key that
+is missing from a sealed journal was therefore never granted and never will be.
+
+Segments form a chain without gaps: the owner creates segment N + 1 only after segment
+N exists on the platform. A sealer that has sealed all segments and has created the next
+one as sealed has therefore fenced the owner, wherever the owner was paused.
+
+Deployments may allow requests to run without the journal while the platform is down
+(``run_unjournaled``). A missing entry proves nothing for such a key, so the key is
+marked by another prefix. A flag in the journal would have to be written before the
+outage, and after a crash it would make the outcome of every key of the incarnation
+"unknown", including those of deployments that refuse such requests. A flag in the key
+needs no platform, applies to exactly the keys concerned, and is visible to every host
+that is asked. Its drawback is that a key minted without the flag is refused during an
+outage, and the caller has to mint another one.
 """
 
 import hashlib
@@ -48,42 +48,46 @@
 )
 
 JOURNAL_KIND = "journals"
+# Value of ``sealed`` in a segment that its owner sealed.
 SEALED_BY_HOME = "home"
 
-# Quotes, colon, comma and blank around one key and its fingerprint in JSON.
+# Quotes, colon, comma and space around one key and its fingerprint in JSON.
 _ENTRY_OVERHEAD_BYTES = 7
 
 
 class JournalPolicy(NamedTuple):
-    """The limits of one home's journal.
+    """Limits of one owner's journal.
 
     Parameters
     ----------
     writes_per_s : float
-        Calls a second that the journal may start at most. The platform takes several
-        hundred writes a second from all hosts: 16 homes at 10 leave room for leases
-        and configuration. Keys that gather meanwhile share the next write.
+        Maximum rate at which the journal starts calls. The platform handles several
+        hundred writes per second from all hosts: 16 hosts at 10 leave room for leases
+        and configuration. Claims that arrive between two writes share the next write.
     claim_timeout_s : float
-        A claim that isn't on the platform after this time is refused. Shorter than a
-        caller's patience, so that it hears a true "not run" and may go elsewhere.
+        Time after which a claim that is not yet on the platform is refused. Shorter
+        than the time-out of callers, so that they receive a reliable "not run" and
+        can send the request elsewhere.
     retention_s : float
-        How long a finished key is remembered, and how long a segment stands after the
-        home has left it. Later repeats hear "unknown".
+        How long a finished key is kept in memory, and a closed segment on the
+        platform. The outcome of an older key is "unknown".
     segment_max_bytes : int
-        Size at which a segment is left for the next. Each write carries the whole
-        segment, so a large one multiplies the bytes of every write by its fill, and a
-        small one gives a survivor more segments to seal. 16 KiB holds about 150 keys.
+        Size at which the next segment is opened. Each write contains the whole
+        segment, so large segments increase the size of every write, and small ones
+        increase the number of segments that a sealer has to seal. 16 KiB holds about
+        150 keys.
     segment_max_age_s : float
-        Age at which a segment is left for the next. A host with few keys would fill a
-        segment over minutes and send it again with each key. Ten seconds keep one
-        key a second under a node's 2 KB/s; a survivor then finds about 70 segments.
+        Age at which the next segment is opened. A host with few keys would otherwise
+        fill a segment over minutes and write it again with each key. With 10 s, one
+        key per second stays below the limit of 2 KB/s per host, and a sealer finds
+        about 70 segments.
     max_keys : int
-        Keys kept in memory, about 330 bytes each as measured.
+        Number of keys kept in memory, at about 330 bytes each.
     max_waiting_claims : int
-        Claims that may wait for the platform at one time; further ones are refused.
+        Number of claims that may wait for the platform; further ones are refused.
     backoff_initial_s, backoff_max_s : float
-        Wait after the first failed call, doubled up to the limit. The limit keeps a
-        fleet from beating on a platform that is coming back.
+        Delay after the first failed call, which doubles up to the maximum. The maximum
+        bounds the delay; the backoff limits the load on a platform that recovers.
     """
 
     writes_per_s: float = 10.0
@@ -101,28 +105,28 @@
 
 
 class _Call(NamedTuple):
-    """The journal's one call in flight; `value` is None for a read."""
+    """The journal's only call in flight; `value` is None for a read."""
 
     tag: str
     value: dict[str, Any] | None
 
 
 class ClaimJournal:
-    """The keys of one incarnation of one host, and their journal on the platform.
+    """Grants the keys of one host incarnation and writes them to its journal.
 
     Parameters
     ----------
     incarnation : str
         Random id of this incarnation: up to 64 letters, digits, ``-`` and ``_``.
     writer : str
-        Random id of this object, by which it recognises its own writes.
+        Random id of this instance, by which it recognises its own writes.
     policy : JournalPolicy, optional
         Limits.
 
     Raises
     ------
     ValueError
-        If the incarnation can't stand in a key.
+        If the key format can't represent the incarnation.
     """
 
     def __init__(self, incarnation, writer, policy=DEFAULT_POLICY):
@@ -130,35 +134,35 @@
         self.incarnation = incarnation
         self._writer = writer
         self._policy = policy
-        self._memory = KeyTable(policy.max_keys, policy.retention_s)
+        self._key_table = KeyTable(policy.max_keys, policy.retention_s)
         self._waiting = {}
-        self._running = 0
-        self._minted = 0
+        self._running_count = 0
+        self._minted_count = 0
         self._segment = 0
         self._segment_opened_s = 0.0
         self._version = 0
-        self._journaled = {}
+        self._journaled_keys = {}
         self._journaled_bytes = 0
         self._sequence = 0
         self._confirmed_sequence = 0
         self._expiry = SegmentExpiry(JOURNAL_KIND, incarnation, policy.retention_s)
         self._call = None
-        self._calls = 0
-        self._is_unsettled = False
+        self._call_count = 0
+        self._must_read = False
         self._not_before_s = 0.0
         self._failures = 0
         self._is_stopping = False
         self._is_sealed = False
-        self._is_sealed_out = False
-        # Hosts that lost the platform together must not come back in step; the
-        # incarnation is random, so its digest spreads their retries.
+        self._is_fenced = False
+        # Retry jitter from 0.5 to 1. Hosts that lost the platform at the same time must
+        # not retry in step; the digest of the random incarnation spreads them.
         digest = hashlib.blake2b(incarnation.encode(), digest_size=1).digest()
-        self._spread = 0.5 + digest[0] / 512
+        self._retry_jitter = 0.5 + digest[0] / 512
 
     @property
     def is_fenced(self):
-        """Whether a survivor has sealed this journal: no key is granted any more."""
-        return self._is_sealed_out
+        """Whether another host has sealed this journal; it grants no more keys then."""
+        return self._is_fenced
 
     @property
     def is_platform_reachable(self):
@@ -167,20 +171,20 @@
 
     @property
     def key_count(self):
-        """How many keys are held in memory."""
-        return len(self._memory)
+        """Number of keys in memory."""
+        return len(self._key_table)
 
     def mint(self, random_hex, unjournaled=False):
-        """Return a new key of this home.
+        """Return a new key owned by this incarnation.
 
         Parameters
         ----------
         random_hex : str
-            8 to 64 hexadecimal digits that nobody can guess.
+            8 to 64 hexadecimal digits that can't be guessed.
         unjournaled : bool, optional
-            True for a deployment that may run it while the platform is unreachable.
-            Mint such keys only while it is (see `is_platform_reachable`): a crash
-            turns their outcome into "unknown".
+            True for a deployment that may run the key while the platform is
+            unreachable. Such keys should be minted only during an outage (see
+            `is_platform_reachable`), because after a crash their outcome is "unknown".
 
         Returns
         -------
@@ -190,14 +194,14 @@
         Raises
         ------
         ValueError
-            If `random_hex` can't stand in a key.
+            If the key format can't represent `random_hex`.
         """
         key = format_key(self.next_parts(unjournaled), random_hex)
-        self._minted += 1
+        self._minted_count += 1
         return key
 
     def next_parts(self, unjournaled=False):
-        """Return what the next minted key will say, for a signature in its last part.
+        """Return the fields of the next minted key, so that they can be signed.
 
         Parameters
         ----------
@@ -207,89 +211,91 @@
         Returns
         -------
         KeyParts
-            The parts.
+            The fields.
         """
-        return KeyParts(self.incarnation, self._segment, self._minted, unjournaled)
+        return KeyParts(
+            self.incarnation, self._segment, self._minted_count, unjournaled
+        )
 
     def claim(self, now_s, key, fingerprint):
-        """Ask for the licence to send the request that carries this key.
+        """Claim a key, to be allowed to send the request with this key.
 
         Parameters
         ----------
         now_s : float
             Reading of this host's clock, in seconds.
         key : str
-            A key of this home.
+            A key that this incarnation owns.
         fingerprint : str
             Digest of the request's content.
 
         Returns
         -------
         list
-            Effects: `ClaimGranted`, `ClaimRefused`, or object calls after which one
-            of the two follows from `handle` or `tick`.
+            Effects: `ClaimGranted`, `ClaimRefused`, or platform calls after which
+            `handle` or `tick` returns one of the two.
 
         Raises
         ------
         ValueError
-            If the key names another home.
+            If the key has another owner.
         """
-        parts = self._parts_of(key)
-        record = self._memory.find(key)
+        parts = self._parse_own_key(key)
+        record = self._key_table.find(key)
         if record is not None:
             return [_refuse_repeat(key, fingerprint, record)]
-        if self._memory.is_expired(parts.count):
-            # The home has forgotten what became of keys this old, so it must not run
-            # them again, and can't deny that it did.
+        if self._key_table.is_expired(parts.count):
+            # Records of keys this old have been evicted, so the key may have run: it
+            # must neither run again nor be reported as "not run".
             return [ClaimRefused(key, "key_unknown_outcome", "unknown")]
-        if parts.count >= self._minted or parts.segment > self._segment:
-            # A made-up key may be minted later and granted then, so no promise that
-            # it never runs is given here.
+        if parts.count >= self._minted_count or parts.segment > self._segment:
+            # A forged key may be minted and granted later, so it is not reported as
+            # "not run".
             return [ClaimRefused(key, "malformed", "unknown")]
-        refusal = self._refusal_of_new_claims()
+        refusal = self._find_refusal_code()
         if refusal is not None:
-            self._remember(now_s, key, parts, fingerprint, KeyState.WITHDRAWN)
+            self._add_record(now_s, key, parts, fingerprint, KeyState.WITHDRAWN)
             return [ClaimRefused(key, refusal, "no")]
-        self._remember(now_s, key, parts, fingerprint, KeyState.WAITING)
+        self._add_record(now_s, key, parts, fingerprint, KeyState.WAITING)
         if parts.unjournaled and not self.is_platform_reachable:
             return [self._grant(key)]
         self._waiting[key] = parts
-        return self._advance(now_s)
+        return self._start_due_calls(now_s)
 
     def finish(self, now_s, key):
-        """Note that a granted key's request has been answered for good.
+        """Mark a granted key as done once its request has the final response.
 
         Parameters
         ----------
         now_s : float
             Reading of this host's clock, in seconds.
         key : str
-            A key that was granted; others are ignored.
+            A granted key; others are ignored.
 
         Returns
         -------
         list
             Effects.
         """
-        record = self._memory.find(key)
+        record = self._key_table.find(key)
         if record is None or record.state is not KeyState.RUNNING:
             return []
-        self._memory.finish(key)
-        self._running -= 1
-        return self._advance(now_s)
+        self._key_table.finish(key)
+        self._running_count -= 1
+        return self._start_due_calls(now_s)
 
     def resolve(self, now_s, key):
-        """Say what became of a key of this home.
+        """Return the outcome of a key; withdraw it if it was not claimed yet.
 
-        A key that wasn't claimed yet is withdrawn by the question: else a delayed
-        copy of its request could run after the caller heard "not_run".
+        Without the withdrawal, a delayed copy of the request could run after the
+        caller was told "not_run".
 
         Parameters
         ----------
         now_s : float
             Reading of this host's clock, in seconds.
         key : str
-            A key of this home.
+            A key that this incarnation owns.
 
         Returns
         -------
@@ -299,15 +305,15 @@
         Raises
         ------
         ValueError
-            If the key names another home.
+            If the key has another owner.
         """
-        parts = self._parts_of(key)
-        record = self._memory.find(key)
+        parts = self._parse_own_key(key)
+        record = self._key_table.find(key)
         if record is None:
-            is_forgotten = self._memory.is_expired(parts.count)
-            if is_forgotten or parts.count >= self._minted:
+            is_expired_key = self._key_table.is_expired(parts.count)
+            if is_expired_key or parts.count >= self._minted_count:
                 return "unknown"
-            self._remember(now_s, key, parts, None, KeyState.WITHDRAWN)
+            self._add_record(now_s, key, parts, None, KeyState.WITHDRAWN)
             return "not_run"
         if record.state is KeyState.WITHDRAWN:
             return "not_run"
@@ -316,7 +322,7 @@
         return "running"
 
     def seal(self, now_s):
-        """Take no new claim, and seal the journal once the granted work is finished.
+        """Refuse new claims, and seal the journal once all granted keys are done.
 
         Parameters
         ----------
@@ -326,16 +332,16 @@
         Returns
         -------
         list
-            Effects; `OwnJournalSealed` follows, now or later.
+            Effects. `OwnJournalSealed` is among them or follows from a later call.
         """
-        if self._is_sealed_out and not self._is_stopping:
+        if self._is_fenced and not self._is_stopping:
             self._is_stopping = True
             return [OwnJournalSealed()]
         self._is_stopping = True
-        return self._advance(now_s)
+        return self._start_due_calls(now_s)
 
     def tick(self, now_s):
-        """Refuse claims that waited too long, and go on with calls that are due.
+        """Refuse claims that have timed out, and start calls that are due.
 
         Parameters
         ----------
@@ -349,25 +355,25 @@
         """
         effects = []
         for key in list(self._waiting):
-            if self._memory.find(key).deadline_s > now_s:
-                # Claims wait in the order in which they came.
+            if self._key_table.find(key).deadline_s > now_s:
+                # Claims are in order of arrival and have the same timeout.
                 break
-            effects.append(self._withdraw(key))
-        self._memory.expire(now_s, self._minted)
-        effects.extend(self._advance(now_s))
-        if not self._is_sealed and not self._is_sealed_out:
+            effects.append(self._refuse_waiting(key))
+        self._key_table.expire(now_s, self._minted_count)
+        effects.extend(self._start_due_calls(now_s))
+        if not self._is_sealed and not self._is_fenced:
             effects.extend(self._expiry.tick(now_s))
         return effects
 
     def handle(self, now_s, event):
-        """Take the answer to a call.
+        """Handle the response to a call.
 
         Parameters
         ----------
         now_s : float
             Reading of this host's clock, in seconds.
         event : ReadDone, WriteDone, WriteConflict or CallFailed
-            The answer. Answers to other calls than the one in flight are ignored.
+            The response. Events of any call but those in flight are ignored.
 
         Returns
         -------
@@ -375,9 +381,9 @@
             Effects.
         """
         self._expiry.handle(now_s, event)
-        is_closed = self._is_sealed or self._is_sealed_out
+        is_closed = self._is_sealed or self._is_fenced
         if self._expiry.is_fenced and not is_closed:
-            return self._shut_out()
+            return self._fence()
         call = self._call
         if call is None or event.tag != call.tag:
             return []
@@ -386,87 +392,89 @@
             return self._on_failed(now_s, call, event.sent)
         self._failures = 0
         if isinstance(event, WriteDone):
-            effects = self._on_stored(StoredObject(event.version, call.value))
+            effects = self._on_own_segment(StoredObject(event.version, call.value))
         elif isinstance(event, (ReadDone, WriteConflict)):
-            effects = self._settle(event.stored)
+            effects = self._on_segment_read(event.stored)
         else:
-            raise TypeError(f"event: no answer to a journal call: {event!r}")
-        effects.extend(self._advance(now_s))
+            raise TypeError(f"event: not a response to a journal call: {event!r}")
+        effects.extend(self._start_due_calls(now_s))
         return effects
 
-    def _parts_of(self, key):
+    def _parse_own_key(self, key):
         parts = parse_key(key)
         if parts is None or parts.incarnation != self.incarnation:
-            raise ValueError(f"key: not one of home {self.incarnation!r}: {key!r}")
+            raise ValueError(f"key: owner is not {self.incarnation!r}: {key!r}")
         return parts
 
-    def _refusal_of_new_claims(self):
+    def _find_refusal_code(self):
         if self._is_stopping:
             return "stopping"
-        if self._is_sealed_out:
+        if self._is_fenced:
             return "journal_unavailable"
         if len(self._waiting) >= self._policy.max_waiting_claims:
             return "overloaded"
         return None
 
-    def _remember(self, now_s, key, parts, fingerprint, state):
+    def _add_record(self, now_s, key, parts, fingerprint, state):
         deadline_s = now_s + self._policy.claim_timeout_s
-        self._memory.add(key, KeyRecord(parts.count, fingerprint, state, deadline_s))
+        self._key_table.add(key, KeyRecord(parts.count, fingerprint, state, deadline_s))
 
     def _grant(self, key):
-        self._memory.find(key).state = KeyState.RUNNING
-        self._running += 1
+        self._key_table.find(key).state = KeyState.RUNNING
+        self._running_count += 1
         return ClaimGranted(key)
 
-    def _withdraw(self, key):
-        # Guards against the write in flight that lands after its claim was refused:
-        # the caller was told "not run" and may have run its request under another
-        # key, so a grant now would run it twice. The state is final for the key, and
-        # a landing write grants only keys that still wait.
+    def _refuse_waiting(self, key):
+        # A write in flight may take effect after its claim was refused. The caller was
+        # told "not run" and may have sent its request under another key, so granting
+        # this key then would run the request twice. WITHDRAWN is final, and a write
+        # that takes effect grants only keys that still wait.
         del self._waiting[key]
-        self._memory.find(key).state = KeyState.WITHDRAWN
+        self._key_table.find(key).state = KeyState.WITHDRAWN
         return ClaimRefused(key, "journal_unavailable", "no")
 
-    def _advance(self, now_s):
-        """Start the next call if one is due, none is in flight, the rate allows."""
+    def _start_due_calls(self, now_s):
+        """Start the next call if one is due and none is in flight."""
         if self._call is not None or now_s < self._not_before_s:
             return []
-        if self._is_sealed or self._is_sealed_out:
+        if self._is_sealed or self._is_fenced:
             return []
-        if self._is_unsettled:
+        if self._must_read:
             return [self._read(now_s)]
         if self._waiting:
             return [self._write_waiting(now_s)]
-        if self._is_stopping and self._running == 0:
-            return [self._write(now_s, self._journaled, SEALED_BY_HOME)]
+        if self._is_stopping and self._running_count == 0:
+            return [self._write(now_s, self._journaled_keys, SEALED_BY_HOME)]
         return []
 
     def _write_waiting(self, now_s):
         is_full = self._journaled_bytes >= self._policy.segment_max_bytes
         is_old = now_s - self._segment_opened_s >= self._policy.segment_max_age_s
-        if self._journaled and (is_full or is_old):
+        if self._journaled_keys and (is_full or is_old):
             self._open_next_segment(now_s)
-        if not self._journaled:
+        if not self._journaled_keys:
             self._segment_opened_s = now_s
-        keys = dict(self._journaled)
+        keys = dict(self._journaled_keys)
         size_bytes = self._journaled_bytes
         for key in self._waiting:
             if size_bytes >= self._policy.segment_max_bytes:
                 break
-            fingerprint = self._memory.find(key).fingerprint
+            fingerprint = self._key_table.find(key).fingerprint
             keys[key] = fingerprint
             size_bytes += _entry_bytes(key, fingerprint)
         return self._write(now_s, keys, None)
 
     def _open_next_segment(self, now_s):
-        # The present segment is known to stand on the platform, else no key of it
-        # would be noted as journaled: the chain has no gap in which a survivor could
-        # take a missing segment for the end while the home is already past it.
-        stored = StoredObject(self._version, self._segment_value(self._journaled, None))
+        # The current segment exists on the platform, otherwise no key would be in
+        # `_journaled_keys`. The chain of segments therefore has no gap that a sealer
+        # could take for the end of the journal.
+        stored = StoredObject(
+            self._version, self._segment_value(self._journaled_keys, None)
+        )
         self._expiry.on_closed(now_s, self._segment, stored)
         self._segment += 1
         self._version = 0
-        self._journaled = {}
+        self._journaled_keys = {}
         self._journaled_bytes = 0
 
     def _write(self, now_s, keys, sealed):
@@ -474,8 +482,8 @@
         value = self._segment_value(keys, sealed)
         self._start_call(now_s, value)
         name = segment_name(self.incarnation, self._segment)
-        # The version guards against the survivor that sealed this segment while the
-        # home was paused: the write conflicts, and the home grants nothing.
+        # If a sealer sealed this segment while this host was paused, the version makes
+        # the write conflict, and no key is granted.
         return WriteObject(self._call.tag, JOURNAL_KIND, name, value, self._version)
 
     def _segment_value(self, keys, sealed):
@@ -494,21 +502,23 @@
         return ReadObject(self._call.tag, JOURNAL_KIND, name)
 
     def _start_call(self, now_s, value):
-        self._calls += 1
-        self._call = _Call(f"journal.{self.incarnation}.{self._calls}", value)
+        self._call_count += 1
+        self._call = _Call(f"journal.{self.incarnation}.{self._call_count}", value)
         self._not_before_s = now_s + 1.0 / self._policy.writes_per_s
 
     def _on_failed(self, now_s, call, sent):
         if call.value is not None and sent:
-            # The write may have landed, or may land yet. Reading shows which, and
-            # nothing is granted on a guess.
-            self._is_unsettled = True
+            # The write may have taken effect or may still do so. The segment is read
+            # before any key is granted.
+            self._must_read = True
         self._failures += 1
-        wait_s = min(
+        delay_s = min(
             self._policy.backoff_max_s,
             self._policy.backoff_initial_s * 2.0 ** min(self._failures - 1, 16),
         )
-        self._not_before_s = max(self._not_before_s, now_s + wait_s * self._spread)
+        self._not_before_s = max(
+            self._not_before_s, now_s + delay_s * self._retry_jitter
+        )
         effects = []
         for key, parts in list(self._waiting.items()):
             if not parts.unjournaled:
@@ -517,36 +527,36 @@
             effects.append(self._grant(key))
         return effects
 
-    def _settle(self, stored):
-        """Take what stands after a lost answer or a conflict."""
-        self._is_unsettled = False
+    def _on_segment_read(self, stored):
+        """Handle the current segment object after a lost response or a conflict."""
+        self._must_read = False
         if stored is None:
             if self._version == 0:
-                # Nothing of this segment has landed; the next write creates it, or
-                # conflicts with an earlier one that lands late.
+                # No write of this segment has taken effect. The next write creates it
+                # or conflicts with a delayed earlier one.
                 return []
-            return self._shut_out()
+            return self._fence()
         if stored.version == self._version:
             return []
-        # Guards against the lost answer to a write that took effect: without it the
-        # home would take its own write for a stranger's. Only this object uses this
-        # writer id, and any write it issued after the last confirmed one may be the
-        # one that landed.
+        # If the response to an effective write was lost, the segment holds this host's
+        # own write, which must not be taken for that of another host. Only this
+        # instance uses this writer id, and any write that it sent after the last
+        # confirmed one may be the one that took effect.
         is_own_write = (
             stored.value["writer"] == self._writer
             and self._confirmed_sequence < stored.value["sequence"] <= self._sequence
         )
         is_sealed_by_other = stored.value["sealed"] not in (None, SEALED_BY_HOME)
         if is_own_write and not is_sealed_by_other:
-            return self._on_stored(stored)
-        return self._shut_out()
+            return self._on_own_segment(stored)
+        return self._fence()
 
-    def _on_stored(self, stored):
-        """Grant the waiting keys that a write of this home has put on the platform."""
+    def _on_own_segment(self, stored):
+        """Grant the waiting keys that are in the segment on the platform."""
         value = stored.value
         self._version = stored.version
         self._confirmed_sequence = value["sequence"]
-        self._journaled = value["keys"]
+        self._journaled_keys = value["keys"]
         self._journaled_bytes = _keys_bytes(value["keys"])
         if value["sealed"] is not None:
             self._is_sealed = True
@@ -559,10 +569,10 @@
             effects.append(self._grant(key))
         return effects
 
-    def _shut_out(self):
-        """Refuse all that waits: a survivor has sealed the journal."""
-        self._is_sealed_out = True
-        effects = [self._withdraw(key) for key in list(self._waiting)]
+    def _fence(self):
+        """Refuse all waiting claims after another host has sealed the journal."""
+        self._is_fenced = True
+        effects = [self._refuse_waiting(key) for key in list(self._waiting)]
         if self._is_stopping:
             effects.append(OwnJournalSealed())
         return effects
--- a/libs/coordination/gypsumusher_coordination/key_table.py
+++ b/libs/coordination/gypsumusher_coordination/key_table.py
@@ -1,16 +1,17 @@
-"""What a home remembers of its keys, bounded in time and number."""
+"""Table of a host's idempotency keys, bounded in age and number."""
 
 import enum
 
-# Dropping an eighth of the keys at once keeps the sort that finds the oldest ones
-# rare: it runs once in `limit / 8` claims.
-_FORGET_SHARE = 8
-# The mint count is marked this often in one retention.
-_MARKS_PER_RETENTION = 16
+# Evicting an eighth of the finished keys at once limits the sort that finds the oldest
+# ones to one run per `limit / 8` claims.
+_EVICTION_DIVISOR = 8
+# The number of minted keys is sampled this many times per retention period, so a key
+# is kept at most a sixteenth of the period too long.
+_SAMPLES_PER_RETENTION = 16
 
 
 class KeyState(enum.Enum):
-    """What a home knows of one of its keys."""
+    """State of one key at its owner."""
 
     WAITING = "waiting"
     RUNNING = "running"
@@ -22,18 +23,19 @@
 
 
 class KeyRecord:
-    """One remembered key.
+    """Record of one key.
 
     Parameters
     ----------
     count : int
-        The key's mint count.
+        Number of keys that the owner had minted before this one.
     fingerprint : str or None
-        Digest of its request's content; None when only a question came so far.
+        Digest of the request's content; None if the key was withdrawn by `resolve`
+        before any claim.
     state : KeyState
-        What became of it.
+        State of the key.
     deadline_s : float
-        When a claim that still waits is refused.
+        Clock reading at which a claim that still waits is refused.
     """
 
     __slots__ = ("count", "deadline_s", "fingerprint", "state")
@@ -46,29 +48,31 @@
 
 
 class KeyTable:
-    """The keys that were claimed or asked for at this home.
+    """Records of the keys that were claimed or resolved at their owner.
 
     Parameters
     ----------
     limit : int
-        Finished keys kept at most, beside those that wait or run.
+        Number of keys above which the oldest finished ones are evicted. Keys that
+        wait or run are never evicted.
     retention_s : float
-        How long after its mint a finished key is kept.
+        How long after its minting a finished key is kept, in seconds.
 
     Notes
     -----
-    A forgotten key would look like one that was never claimed, and run again. The
-    mint count in the key tells them apart: all keys below a floor count as forgotten,
-    for ever and without a record. The floor rises with time, and sooner when the
-    limit is reached, also during an outage in which no journal segment can close.
+    An evicted key must not look like one that was never claimed, or its request would
+    run again. The mint count in the key tells them apart: every key without a record
+    whose count is below `_min_count` counts as expired, permanently. `_min_count`
+    rises with time, and sooner when the limit is reached, also during a platform
+    outage in which no journal segment can be closed.
     """
 
     def __init__(self, limit, retention_s):
         self._limit = limit
         self._retention_s = retention_s
         self._records = {}
-        self._floor = 0
-        self._marks = []
+        self._min_count = 0
+        self._count_samples = []
 
     def __len__(self):
         return len(self._records)
@@ -84,12 +88,12 @@
         Returns
         -------
         KeyRecord or None
-            None when the key was never heard of, or is forgotten.
+            None when the key was never claimed or resolved, or has been evicted.
         """
         return self._records.get(key)
 
     def is_expired(self, count):
-        """Return whether keys with this mint count are forgotten.
+        """Return whether keys with this mint count have expired.
 
         Parameters
         ----------
@@ -99,19 +103,19 @@
         Returns
         -------
         bool
-            True when nothing can be said of such a key that has no record.
+            True when the outcome of such a key is unknown if it has no record.
         """
-        return count < self._floor
+        return count < self._min_count
 
     def add(self, key, record):
-        """Remember a key; forget the oldest finished ones when there are too many.
+        """Add a record; evict the oldest finished keys when the limit is exceeded.
 
         Parameters
         ----------
         key : str
             The key.
         record : KeyRecord
-            What is known of it.
+            Its record.
         """
         self._records[key] = record
         if len(self._records) <= self._limit:
@@ -122,10 +126,10 @@
             if record.state in _FINAL_STATES
         )
         if counts:
-            self._raise_floor(counts[len(counts) // _FORGET_SHARE] + 1)
+            self._raise_min_count(counts[len(counts) // _EVICTION_DIVISOR] + 1)
 
     def finish(self, key):
-        """Note that a running key is done.
+        """Mark a running key as done.
 
         Parameters
         ----------
@@ -134,30 +138,30 @@
         """
         record = self._records[key]
         record.state = KeyState.DONE
-        if record.count < self._floor:
+        if record.count < self._min_count:
             del self._records[key]
 
-    def expire(self, now_s, minted):
-        """Forget what was minted longer than the retention ago.
+    def expire(self, now_s, minted_count):
+        """Evict finished keys that were minted longer than the retention ago.
 
         Parameters
         ----------
         now_s : float
             Reading of this host's clock, in seconds.
-        minted : int
-            How many keys have been minted by now.
+        minted_count : int
+            Number of keys that have been minted by now.
         """
-        interval_s = self._retention_s / _MARKS_PER_RETENTION
-        if not self._marks or now_s - self._marks[-1][0] >= interval_s:
-            self._marks.append((now_s, minted))
-        floor = self._floor
-        while now_s - self._marks[0][0] >= self._retention_s:
-            floor = self._marks.pop(0)[1]
-        if floor > self._floor:
-            self._raise_floor(floor)
-
-    def _raise_floor(self, floor):
-        self._floor = max(self._floor, floor)
+        interval_s = self._retention_s / _SAMPLES_PER_RETENTION
+        if not self._count_samples or now_s - self._count_samples[-1][0] >= interval_s:
+            self._count_samples.append((now_s, minted_count))
+        min_count = self._min_count
+        while now_s - self._count_samples[0][0] >= self._retention_s:
+            min_count = self._count_samples.pop(0)[1]
+        if min_count > self._min_count:
+            self._raise_min_count(min_count)
+
+    def _raise_min_count(self, min_count):
+        self._min_count = max(self._min_count, min_count)
         for key, record in list(self._records.items()):
-            if record.count < self._floor and record.state in _FINAL_STATES:
+            if record.count < self._min_count and record.state in _FINAL_STATES:
                 del self._records[key]
--- a/libs/coordination/gypsumusher_coordination/keys.py
+++ b/libs/coordination/gypsumusher_coordination/keys.py
@@ -1,4 +1,8 @@
-"""The idempotency keys that a home mints, and what can be read from them."""
+"""Idempotency keys that hosts mint: format, parsing and object names.
+
+The host incarnation that mints a key is its owner, the only one that may run the
+request with this key.
+"""
 
 import hashlib
 import re
@@ -7,8 +11,8 @@
 JOURNALED_PREFIX = "gk1"
 UNJOURNALED_PREFIX = "gu1"
 
-# Incarnations and random parts are short tokens without dots. The limits keep a key
-# that a caller made up from filling the journal or the memory of a host.
+# Incarnations and random parts are short tokens without dots. The length limits keep
+# forged keys from filling the journal or the memory of a host.
 _KEY_PATTERN = re.compile(
     r"(gk1|gu1)\.([A-Za-z0-9_-]{1,64})\.([0-9]{1,9})\.([0-9]{1,15})\.([0-9a-f]{8,64})"
 )
@@ -16,20 +20,20 @@
 
 
 class KeyParts(NamedTuple):
-    """What a minted key says of itself.
+    """Fields that are encoded in a minted key.
 
     Parameters
     ----------
     incarnation : str
-        The home that minted the key, the only one that may ever run it.
+        The owner: the host incarnation that minted the key.
     segment : int
-        The home's journal segment when it minted the key. The key can stand in
-        this segment or a later one, never in an earlier one.
+        Number of the owner's journal segment when it minted the key. The key's entry
+        can be in this segment or a later one, never in an earlier one.
     count : int
-        How many keys the home had minted before this one.
+        Number of keys that the owner had minted before this one.
     unjournaled : bool
-        True when the home may run the key without a journal entry, so that the
-        key's absence from the journal proves nothing.
+        True when the owner may run the key without a journal entry, so that the
+        absence of an entry doesn't show that the key was not run.
     """
 
     incarnation: str
@@ -39,14 +43,14 @@
 
 
 def format_key(parts, random_hex):
-    """Return the key with these parts.
+    """Return the key with these fields.
 
     Parameters
     ----------
     parts : KeyParts
-        What the key says of itself.
+        The fields.
     random_hex : str
-        8 to 64 lower-case hexadecimal digits that nobody can guess.
+        8 to 64 lower-case hexadecimal digits that can't be guessed.
 
     Returns
     -------
@@ -56,17 +60,17 @@
     Raises
     ------
     ValueError
-        If a part can't stand in a key.
+        If a field has a value that the key format can't represent.
     """
     prefix = UNJOURNALED_PREFIX if parts.unjournaled else JOURNALED_PREFIX
     key = f"{prefix}.{parts.incarnation}.{parts.segment}.{parts.count}.{random_hex}"
     if _KEY_PATTERN.fullmatch(key) is None:
-        raise ValueError(f"key parts can't stand in a key: {key!r}")
+        raise ValueError(f"key: fields don't fit the key format: {key!r}")
     return key
 
 
 def parse_key(key):
-    """Return what a minted key says, or None for a key that names no home.
+    """Return the fields of a minted key, or None for a key of the caller.
 
     Parameters
     ----------
@@ -76,7 +80,7 @@
     Returns
     -------
     KeyParts or None
-        None when the key is one of the caller's own.
+        None when the key was not minted by a host but chosen by the caller.
     """
     match = _KEY_PATTERN.fullmatch(key)
     if match is None:
@@ -91,7 +95,7 @@
 
 
 def claim_name(key):
-    """Return the name of the platform object that holds a caller's own key.
+    """Return the name of the platform object that holds the claim of a caller's key.
 
     Parameters
     ----------
@@ -113,9 +117,9 @@
     Parameters
     ----------
     incarnation : str
-        The home.
+        The owner.
     segment : int
-        The segment's number, from zero.
+        The segment's number, counted from zero.
 
     Returns
     -------
--- a/libs/coordination/gypsumusher_coordination/sealing.py
+++ b/libs/coordination/gypsumusher_coordination/sealing.py
@@ -1,4 +1,4 @@
-"""Sealing the journal of a home that has died, so that its record is final."""
+"""Seals the claim journal of a host that has died, which makes its entries final."""
 
 from gypsumusher_coordination.effects import (
     CallFailed,
@@ -12,38 +12,39 @@
 from gypsumusher_coordination.journal import JOURNAL_KIND, SEALED_BY_HOME
 from gypsumusher_coordination.keys import parse_key, segment_name
 
-# A home numbers its writes from one, so zero marks a segment that a survivor created.
-_CREATED_SEALED = 0
-# Sealing is rare (a dead home) and callers wait for its outcome, so the retry is quick
-# at first; the limit spares a platform that is down.
-_RETRY_FIRST_S = 0.2
-_RETRY_LIMIT_S = 5.0
+# Sequence number of a segment that a sealer created. Owners number their writes from
+# one.
+_SEALER_SEQUENCE = 0
+# Sealing is rare (only after a host died) and callers wait for its outcome, so the
+# first retry comes soon. The maximum limits the load on a platform that is down.
+_RETRY_INITIAL_S = 0.2
+_RETRY_MAX_S = 5.0
 
 
 class JournalSealer:
-    """Seals all segments of another home's journal, then tells what became of keys.
+    """Seals all segments of another host's journal and reports the outcome of keys.
 
     Parameters
     ----------
     incarnation : str
-        The home whose journal is to be sealed.
+        The owner of the journal to seal.
     sealing_host : str
-        The host that seals; not the word "home".
+        The host that seals; not "home".
 
     Raises
     ------
     ValueError
-        If `sealing_host` is the word that marks a home's own seal.
+        If `sealing_host` is "home", which marks a journal sealed by its owner.
 
     Notes
     -----
-    A wrong suspicion is harmless: a home that lives is shut out, refuses what waits
-    with a true "not run", and starts a new incarnation.
+    Sealing the journal of an owner that is alive is safe: the owner is fenced, refuses
+    the waiting claims with a correct "not run", and starts a new incarnation.
     """
 
     def __init__(self, incarnation, sealing_host):
         if sealing_host == SEALED_BY_HOME:
-            raise ValueError(f"sealing_host: {sealing_host!r} marks a home's own seal")
+            raise ValueError(f"sealing_host: {sealing_host!r} is reserved for owners")
         self.incarnation = incarnation
         self._sealing_host = sealing_host
         self._segment = 0
@@ -63,7 +64,7 @@
         return self._is_done
 
     def start(self, now_s):
-        """Begin with the first segment.
+        """Start with the first segment.
 
         Parameters
         ----------
@@ -73,7 +74,7 @@
         Returns
         -------
         list
-            Effects; `PeerJournalSealed` comes at the end.
+            Effects. `PeerJournalSealed` is the last effect, from `handle`.
         """
         if self._is_started:
             return []
@@ -81,7 +82,7 @@
         return [self._read()]
 
     def tick(self, now_s):
-        """Repeat a failed call when its time has come.
+        """Repeat a failed call when it is due.
 
         Parameters
         ----------
@@ -99,14 +100,14 @@
         return [self._read()]
 
     def handle(self, now_s, event):
-        """Take the answer to a call.
+        """Handle the response to a call.
 
         Parameters
         ----------
         now_s : float
             Reading of this host's clock, in seconds.
         event : ReadDone, WriteDone, WriteConflict or CallFailed
-            The answer. Answers to other calls than the one in flight are ignored.
+            The response. Events of any call but the one in flight are ignored.
 
         Returns
         -------
@@ -117,27 +118,30 @@
             return []
         self._call_tag = None
         if isinstance(event, CallFailed):
-            # Reading again also settles a write that took effect unseen: it shows
-            # this segment sealed, by whomever.
-            wait_s = min(_RETRY_LIMIT_S, _RETRY_FIRST_S * 2.0 ** min(self._failures, 8))
+            # The retry reads the segment again. If a write whose response was lost took
+            # effect, the read shows the segment as sealed.
+            delay_s = min(
+                _RETRY_MAX_S,
+                _RETRY_INITIAL_S * 2.0 ** min(self._failures, 8),
+            )
             self._failures += 1
-            self._retry_at_s = now_s + wait_s
+            self._retry_at_s = now_s + delay_s
             return []
         self._failures = 0
         if isinstance(event, WriteDone):
-            return self._on_sealed_segment(self._sealed_value)
+            return self._on_segment_sealed(self._sealed_value)
         if not isinstance(event, (ReadDone, WriteConflict)):
-            raise TypeError(f"event: no answer to a sealer's call: {event!r}")
+            raise TypeError(f"event: not a response to a call of a sealer: {event!r}")
         if event.stored is None:
             return [self._create_sealed()]
         value = event.stored.value
         if value["sealed"] is None:
             sealed_value = {**value, "sealed": self._sealing_host}
             return [self._write(sealed_value, event.stored.version)]
-        return self._on_sealed_segment(value)
+        return self._on_segment_sealed(value)
 
     def outcome(self, key):
-        """Tell what became of a key of the sealed home.
+        """Return the outcome of a key of the sealed journal's owner.
 
         Parameters
         ----------
@@ -147,51 +151,52 @@
         Returns
         -------
         str
-            "not_run" when the key was never granted and never will be, else
-            "unknown"; "unknown" also as long as the seal isn't complete.
+            "not_run" when the key was never granted and never will be, otherwise
+            "unknown". "unknown" also until all segments are sealed.
 
         Raises
         ------
         ValueError
-            If the key names another home.
+            If the key has another owner.
         """
         parts = parse_key(key)
         if parts is None or parts.incarnation != self.incarnation:
-            raise ValueError(f"key: not one of home {self.incarnation!r}: {key!r}")
+            raise ValueError(f"key: owner is not {self.incarnation!r}: {key!r}")
         if not self._is_done or key in self._keys:
             return "unknown"
         if parts.unjournaled:
-            # The home may have run it from memory while the platform was down.
+            # The owner may have run it without a journal entry while the platform was
+            # down.
             return "unknown"
         if parts.segment < self._first_segment:
-            # Older than the journal's retention: its entry may have been removed.
+            # Older than the journal's retention: its entry may have been deleted.
             return "unknown"
         return "not_run"
 
-    def _on_sealed_segment(self, value):
+    def _on_segment_sealed(self, value):
         self._keys.update(value["keys"])
         is_last = (
-            value["sealed"] == SEALED_BY_HOME or value["sequence"] == _CREATED_SEALED
+            value["sealed"] == SEALED_BY_HOME or value["sequence"] == _SEALER_SEQUENCE
         )
         if is_last:
             self._is_done = True
             return [PeerJournalSealed(self.incarnation, dict(self._keys))]
         if self._segment == 0:
-            # Segments that the home removed after their retention are passed over;
-            # one of them, found missing, would look like the journal's end.
+            # Skips the segments that the owner deleted after their retention. A missing
+            # segment would otherwise look like the end of the journal.
             self._first_segment = value.get("first_segment", 0)
         self._segment = max(self._segment + 1, self._first_segment)
         return [self._read()]
 
     def _create_sealed(self):
-        # Guards against the home that was paused before it created this segment: a
-        # seal on the earlier ones wouldn't stop it, and a key could be granted after
-        # a caller was told "not run". Now its create conflicts.
+        # The owner may have been paused just before it created this segment. Sealing
+        # the earlier segments would not stop that create, and a key could be granted
+        # after a caller was told "not run". This object makes the create conflict.
         value = {
             "incarnation": self.incarnation,
             "segment": self._segment,
             "writer": self._sealing_host,
-            "sequence": _CREATED_SEALED,
+            "sequence": _SEALER_SEQUENCE,
             "sealed": self._sealing_host,
             "keys": {},
         }
