--- a/libs/coordination/gypsumusher_coordination/lease.py
+++ b/libs/coordination/gypsumusher_coordination/lease.py
@@ -1,4 +1,4 @@
-"""The lease by which one host at a time is a deployment's steward."""
+"""Lease that gives one host at a time the right to send a deployment's orders."""
 
 from collections.abc import Callable
 from typing import Any, NamedTuple
@@ -13,23 +13,26 @@
 )
 
 LEASE_KIND = "leases"
-# A renewal at a third of the duration leaves time for two more tries.
-RENEW_SHARE = 1.0 / 3.0
-# Other hosts look twice in a lease, so that a dead holder's lapses are seen about
-# half a duration late, at two reads a duration for each host of the cell.
-OBSERVE_SHARE = 0.5
-RETRY_SHARE = 0.1
-# A crystal is off by less than a ten-thousandth; a hundredth more waiting covers the
-# holder's clock running slow against the observer's.
-CLOCK_DRIFT = 0.01
+# Share of the duration after which the holder renews. A third leaves time for two more
+# attempts.
+RENEW_FRACTION = 1.0 / 3.0
+# Share of the duration between two reads of a host that doesn't hold the lease. It
+# detects the expiry of a dead holder's lease about half a duration late, at the cost
+# of two reads per duration and host of the cell.
+READ_INTERVAL_FRACTION = 0.5
+# Share of the duration between two attempts of a failed call.
+RETRY_FRACTION = 0.1
+# Share that other hosts add to the duration in case the holder's clock runs slower than
+# theirs. Quartz clocks drift by less than 1e-4.
+CLOCK_DRIFT_FRACTION = 0.01
 
 
 class OpenTerm(NamedTuple):
-    """A former term whose holder may still have orders on the way.
+    """A former term whose holder may still have orders in flight.
 
-    It stays in the lease, through later holders too, until the engines' own limit
-    has passed, or an operator confirmed the holder dead. Without it, a second
-    takeover would forget the holder before last.
+    The lease object lists open terms, also under later holders, until the engines have
+    closed the former holder's connections or an operator has confirmed that it is dead.
+    Without the list, a second takeover would lose track of the holder before last.
     """
 
     term: int
@@ -38,7 +41,18 @@
 
 
 class TermValidity(NamedTuple):
-    """Until when, by this host's clock, its term holds; the past when it does not."""
+    """This host's term and the end of its validity.
+
+    Parameters
+    ----------
+    incarnation : str
+        The host's incarnation.
+    term : int
+        The fencing number.
+    valid_until_s : float
+        End of the lease as a reading of this host's clock, in seconds; minus infinity
+        when this host doesn't hold the lease.
+    """
 
     incarnation: str
     term: int
@@ -52,8 +66,9 @@
     ----------
     term : int
         The fencing number, higher than any before.
-    previous : tuple of OpenTerm
-        Former terms that may still have orders on the way; hand it to the orders.
+    open_terms : tuple of OpenTerm
+        Former terms that may still have orders in flight, for
+        `OrderController.on_lease_gained`.
     """
 
     term: int
@@ -61,7 +76,7 @@
 
 
 class LeaseLost(NamedTuple):
-    """Effect: this host's term is over."""
+    """Effect: this host's term has ended."""
 
     term: int
 
@@ -70,20 +85,20 @@
 
 
 class Lease:
-    """One host's side of one deployment's lease.
+    """One host's state machine for one deployment's lease.
 
-    Failure guarded against: a holder is paused, its lease lapses, another host takes
-    over, and the first wakes up and still believes that it holds the lease. Two
-    stewards then order the same engines about. Three things keep their terms apart,
-    none of which compares two hosts' clocks:
+    A holder may be paused until its lease has expired and another host has taken over.
+    If it still took itself for the holder when it resumed, two hosts would send orders
+    to the same engines. Three rules prevent overlapping terms without comparing the
+    clocks of two hosts:
 
-    * A holder counts from before its write was sent, so that its belief ends before
-      the written lease does, however long the write took.
-    * Another host takes over only after it has seen one version unchanged for the
-      whole duration, counted on its own clock from when the read was answered, which
-      is after the write.
-    * Every takeover is a conditional write with a higher term; a renewal that was
-      under way meanwhile fails on its condition.
+    * A holder counts the duration from before it sent its write, so its own term ends
+      before the written lease expires, however long the write took.
+    * Another host takes over only after it has seen the same version unchanged for the
+      whole duration. It counts on its own clock from the response to its read, which
+      is later than the write.
+    * A takeover is a conditional write with a higher term. A concurrent renewal by the
+      former holder fails its condition.
 
     Parameters
     ----------
@@ -92,10 +107,10 @@
     host, incarnation : str
         This process.
     duration_s : float
-        How long a renewal lasts; the same on all hosts.
+        Validity of a renewal in seconds; must be the same on all hosts.
     nonce_source : callable
-        Returns a new random text for each write. A write whose answer was lost is
-        recognised by it.
+        Returns a new random string for each write. After a lost response the nonce
+        identifies this host's own write.
     """
 
     def __init__(
@@ -114,124 +129,129 @@
         self.term = 0
         self.valid_until_s = float("-inf")
         self.is_released = False
-        self._held = False
-        self._releasing = False
+        self._is_holder = False
+        self._is_releasing = False
         self._open_terms: tuple[OpenTerm, ...] = ()
-        # What stands on the platform, as far as known, and since when unchanged.
+        # Last known object on the platform, and since when it is known unchanged.
         self._stored: StoredObject | None = None
-        self._seen_s = float("-inf")
-        # When each own write was sent whose outcome is open, by nonce.
-        self._sent_s: dict[str, float] = {}
-        self._written: dict[str, Any] = {}
-        self._writing = False
+        self._unchanged_since_s = float("-inf")
+        # Send times of this host's writes with an unknown outcome, by nonce.
+        self._pending_writes_s: dict[str, float] = {}
+        self._last_write: dict[str, Any] = {}
+        self._is_writing = False
         self._tag: str | None = None
         self._calls = 0
-        self._next_s = float("-inf")
+        self._next_call_s = float("-inf")
 
     def is_held(self, now_s: float) -> bool:
-        """Return whether this host holds the lease at this very moment."""
-        return self._held and now_s < self.valid_until_s
+        """Return whether this host holds the lease at `now_s`."""
+        return self._is_holder and now_s < self.valid_until_s
 
     def term_validity(self) -> TermValidity:
-        """Return the term and until when it may be acted on."""
-        valid_until_s = self.valid_until_s if self._held else float("-inf")
+        """Return this host's term and the end of its validity."""
+        valid_until_s = self.valid_until_s if self._is_holder else float("-inf")
         return TermValidity(self.incarnation, self.term, valid_until_s)
 
     def open_terms(self) -> tuple[OpenTerm, ...]:
-        """Return the former terms that may still have orders on the way."""
+        """Return the former terms that may still have orders in flight."""
         return self._open_terms
 
     def close_terms(self, terms: tuple[int, ...]) -> None:
-        """Drop open terms whose orders can come no more; the next renewal says so."""
+        """Remove these open terms; the next renewal writes the remaining ones."""
         self._open_terms = tuple(
             term for term in self._open_terms if term.term not in terms
         )
 
     def tick(self, now_s: float) -> list[LeaseEffect]:
-        """Renew, observe, take over or lapse, whichever is due."""
-        effects = self._lapse(now_s)
-        if self._tag is not None or self.is_released or now_s < self._next_s:
+        """Expire, renew, read or take over the lease, whichever is due."""
+        effects = self._expire(now_s)
+        if self._tag is not None or self.is_released or now_s < self._next_call_s:
             return effects
-        if self._held or (self._releasing and self._stands()):
-            return effects + self._write_own(now_s)
-        if not self._releasing and self._may_take_over(now_s):
+        if self._is_holder or (self._is_releasing and self._is_own_write()):
+            return effects + self._renew(now_s)
+        if not self._is_releasing and self._may_take_over(now_s):
             return effects + self._take_over(now_s)
         return effects + [self._read(now_s)]
 
     def handle(self, now_s: float, event: CallEvent) -> list[LeaseEffect]:
-        """Take the answer to a call."""
+        """Handle the response to a call."""
         if event.tag != self._tag:
             return []
         self._tag = None
-        effects = self._lapse(now_s)
+        effects = self._expire(now_s)
         if isinstance(event, CallFailed):
             return effects + self._on_failed(now_s, event.sent)
         if isinstance(event, WriteDone):
-            stored = StoredObject(event.version, self._written)
+            stored = StoredObject(event.version, self._last_write)
             return effects + self._on_stored(now_s, stored)
         return effects + self._on_stored(now_s, event.stored)
 
     def last_stored(self) -> StoredObject | None:
-        """Return what is known to stand on the platform, for other hosts."""
+        """Return the last known lease object, for sending to other hosts."""
         return self._stored
 
     def on_stored_received(self, now_s: float, stored: StoredObject) -> None:
-        """Take in what another host knows to stand; an older version changes nothing.
+        """Handle a lease object that another host sent; older versions are ignored.
 
-        A host that hears of each version can take over as soon as the last one has
-        lapsed, also when the platform was away meanwhile; one that has to read it
-        first waits for the whole duration from there. The takeover is conditional on
-        that version, so one that has been renewed unheard is not taken.
+        A host that receives every version can take over as soon as the last one has
+        expired, even if the platform was unreachable in between. A host that has to
+        read the object first waits for the whole duration after its read. The takeover
+        is conditional on the known version, so it fails if the lease was renewed
+        without this host receiving the renewal.
         """
-        if self._held or self._tag is not None or self._sent_s:
+        if self._is_holder or self._tag is not None or self._pending_writes_s:
             return
-        known = 0 if self._stored is None else self._stored.version
-        if stored.version > known:
+        known_version = 0 if self._stored is None else self._stored.version
+        if stored.version > known_version:
             self._stored = stored
-            self._seen_s = now_s
+            self._unchanged_since_s = now_s
 
     def release(self, now_s: float) -> list[LeaseEffect]:
-        """Give the lease up for a planned stop; it is not sought again.
+        """Release the lease for a planned stop; this host doesn't acquire it again.
 
-        Call it only when no order's connection is open any more: a released lease
-        tells the next holder that it need not wait. The belief ends at once, the
-        write follows; `released` turns true when it stands.
+        Call it only when no connection of an order is open, because the next holder of
+        a released lease doesn't wait for orders in flight. The term ends immediately.
+        `is_released` becomes true once the release is written.
         """
-        if not self._held and not self._sent_s:
+        if not self._is_holder and not self._pending_writes_s:
             self.is_released = True
             return []
-        self._releasing = True
-        self._next_s = now_s
-        effects = self._end_term() if self._held else []
+        self._is_releasing = True
+        self._next_call_s = now_s
+        effects = self._end_term() if self._is_holder else []
         return effects + self.tick(now_s)
 
-    def _lapse(self, now_s: float) -> list[LeaseEffect]:
-        if not self._held or now_s < self.valid_until_s:
+    def _expire(self, now_s: float) -> list[LeaseEffect]:
+        if not self._is_holder or now_s < self.valid_until_s:
             return []
         return self._end_term()
 
     def _end_term(self) -> list[LeaseEffect]:
-        self._held = False
+        self._is_holder = False
         self.valid_until_s = float("-inf")
         return [LeaseLost(self.term)]
 
-    def _stands(self) -> bool:
-        """Return whether a write of this process is the newest known one."""
+    def _is_own_write(self) -> bool:
+        """Return whether this process wrote the last known lease object."""
         if self._stored is None:
             return False
         return self._stored.value["incarnation"] == self.incarnation
 
     def _may_take_over(self, now_s: float) -> bool:
-        if self._seen_s == float("-inf"):
+        if self._unchanged_since_s == float("-inf"):
             return False
-        return now_s >= self._lapses_s()
-
-    def _lapses_s(self) -> float:
-        """Return when nobody else can believe in the lease that stands."""
-        if self._stored is None or self._stored.value["released"] or self._stands():
-            return self._seen_s
+        return now_s >= self._expires_at_s()
+
+    def _expires_at_s(self) -> float:
+        """Return when no other host can hold the last known lease."""
+        if (
+            self._stored is None
+            or self._stored.value["released"]
+            or self._is_own_write()
+        ):
+            return self._unchanged_since_s
         duration_s = self._stored.value["duration_s"]
-        return self._seen_s + duration_s * (1.0 + CLOCK_DRIFT)
+        return self._unchanged_since_s + duration_s * (1.0 + CLOCK_DRIFT_FRACTION)
 
     def _take_over(self, now_s: float) -> list[LeaseEffect]:
         open_terms: tuple[OpenTerm, ...] = ()
@@ -243,73 +263,78 @@
             if not value["released"]:
                 former = OpenTerm(value["term"], value["holder"], value["incarnation"])
                 open_terms = _with_term(open_terms, former)
-        return [self._write(now_s, self._value(term, open_terms))]
+        return [self._write(now_s, self._lease_value(term, open_terms))]
 
-    def _write_own(self, now_s: float) -> list[LeaseEffect]:
-        value = self._value(self.term, self._open_terms, released=self._releasing)
+    def _renew(self, now_s: float) -> list[LeaseEffect]:
+        value = self._lease_value(
+            self.term, self._open_terms, released=self._is_releasing
+        )
         return [self._write(now_s, value)]
 
     def _on_failed(self, now_s: float, sent: bool) -> list[LeaseEffect]:
-        self._next_s = now_s + self.duration_s * RETRY_SHARE
-        if not sent or not self._writing:
+        self._next_call_s = now_s + self.duration_s * RETRY_FRACTION
+        if not sent or not self._is_writing:
             return []
-        # The write may stand. Reading settles it by the nonce; until then the belief
-        # ends when the last renewal that is known to stand runs out.
+        # The write may have taken effect; the read shows it by the nonce. Until then
+        # the term ends with the last renewal that is known to have succeeded.
         return [self._read(now_s)]
 
     def _on_stored(
         self, now_s: float, stored: StoredObject | None
     ) -> list[LeaseEffect]:
-        """Take what stands on the platform, from whichever answer."""
+        """Handle the current lease object, from a read, a write or a conflict."""
         version = 0 if stored is None else stored.version
-        known = 0 if self._stored is None else self._stored.version
-        if version != known or self._seen_s == float("-inf"):
-            self._seen_s = now_s
+        known_version = 0 if self._stored is None else self._stored.version
+        if version != known_version or self._unchanged_since_s == float("-inf"):
+            self._unchanged_since_s = now_s
         self._stored = stored
         nonce = None if stored is None else stored.value["nonce"]
-        sent_s = self._sent_s.get(nonce)
-        if version != known:
-            # One write won, so that no other one on the old version can land.
-            self._sent_s.clear()
+        sent_s = self._pending_writes_s.get(nonce)
+        if version != known_version:
+            # The version changed, so no other pending write on the old version can
+            # succeed.
+            self._pending_writes_s.clear()
         if sent_s is not None:
-            self._sent_s[nonce] = sent_s
-            return self._on_own(now_s, stored.value, sent_s)
-        self._next_s = now_s + self.duration_s * OBSERVE_SHARE
-        self._next_s = min(self._next_s, max(now_s, self._lapses_s()))
-        if self._releasing:
-            self._releasing = False
+            self._pending_writes_s[nonce] = sent_s
+            return self._on_own_write(now_s, stored.value, sent_s)
+        self._next_call_s = now_s + self.duration_s * READ_INTERVAL_FRACTION
+        self._next_call_s = min(self._next_call_s, max(now_s, self._expires_at_s()))
+        if self._is_releasing:
+            self._is_releasing = False
             self.is_released = True
-        return self._end_term() if self._held else []
+        return self._end_term() if self._is_holder else []
 
-    def _on_own(self, now_s: float, value: dict, sent_s: float) -> list[LeaseEffect]:
-        """Take a write of ours that stands."""
+    def _on_own_write(
+        self, now_s: float, value: dict, sent_s: float
+    ) -> list[LeaseEffect]:
+        """Handle a write of this host that took effect."""
         if value["released"]:
-            self._releasing = False
+            self._is_releasing = False
             self.is_released = True
             return []
-        if self._releasing:
+        if self._is_releasing:
             self.term = max(self.term, value["term"])
             self._open_terms = _read_open_terms(value)
-            self._next_s = now_s
+            self._next_call_s = now_s
             return []
-        self._next_s = sent_s + self.duration_s * RENEW_SHARE
+        self._next_call_s = sent_s + self.duration_s * RENEW_FRACTION
         valid_until_s = sent_s + self.duration_s
-        if self._held:
+        if self._is_holder:
             self.valid_until_s = valid_until_s
             return []
         if value["term"] <= self.term or now_s >= valid_until_s:
-            # A renewal or a takeover that was answered after it had lapsed: the
-            # term is over, and the next tick takes a new one.
+            # The response to the renewal or takeover came after its validity had ended.
+            # The term is over, and the next tick starts a new one.
             self.term = max(self.term, value["term"])
-            self._next_s = now_s
+            self._next_call_s = now_s
             return []
         self.term = value["term"]
         self.valid_until_s = valid_until_s
         self._open_terms = _read_open_terms(value)
-        self._held = True
+        self._is_holder = True
         return [LeaseGained(self.term, self._open_terms)]
 
-    def _value(
+    def _lease_value(
         self, term: int, open_terms: tuple[OpenTerm, ...], released: bool = False
     ) -> dict[str, Any]:
         return {
@@ -323,20 +348,20 @@
         }
 
     def _read(self, now_s: float) -> ReadObject:
-        self._next_s = now_s + self.duration_s * RETRY_SHARE
-        self._writing = False
+        self._next_call_s = now_s + self.duration_s * RETRY_FRACTION
+        self._is_writing = False
         return ReadObject(self._next_tag(), LEASE_KIND, self.deployment)
 
     def _write(self, now_s: float, value: dict[str, Any]) -> WriteObject:
-        self._next_s = now_s + self.duration_s * RETRY_SHARE
-        self._written = value
-        self._writing = True
-        # A write older than the duration is worth nothing even if it still lands, so
-        # that a long outage does not pile up nonces.
-        for nonce, sent_s in list(self._sent_s.items()):
+        self._next_call_s = now_s + self.duration_s * RETRY_FRACTION
+        self._last_write = value
+        self._is_writing = True
+        # A write older than the duration is expired even if it still takes effect.
+        # Dropping its nonce bounds the dict during a long outage.
+        for nonce, sent_s in list(self._pending_writes_s.items()):
             if now_s > sent_s + self.duration_s:
-                del self._sent_s[nonce]
-        self._sent_s[value["nonce"]] = now_s
+                del self._pending_writes_s[nonce]
+        self._pending_writes_s[value["nonce"]] = now_s
         version = 0 if self._stored is None else self._stored.version
         return WriteObject(
             self._next_tag(), LEASE_KIND, self.deployment, value, version
@@ -355,6 +380,6 @@
 def _with_term(
     open_terms: tuple[OpenTerm, ...], former: OpenTerm
 ) -> tuple[OpenTerm, ...]:
-    """Add a term; an incarnation's newer term stands for its older ones."""
+    """Add a term; it replaces older terms of the same incarnation."""
     others = [term for term in open_terms if term.incarnation != former.incarnation]
     return (*others, former)
--- a/libs/coordination/gypsumusher_coordination/order_effects.py
+++ b/libs/coordination/gypsumusher_coordination/order_effects.py
@@ -1,15 +1,15 @@
-"""What the order book asks of engines, and what it hears from them."""
+"""Effects that `OrderController` returns and events that it takes from engines."""
 
 from typing import Any, NamedTuple
 
 from gypsumusher_coordination.effects import ReadObject, WriteObject
 
-# States of an intent on the platform; an engine tells the last two as well.
+# States of an intent record on the platform. Engines report the last two as well.
 INTENDED = "intended"
 DONE = "done"
 FAILED = "failed"
 
-# What else an engine answers.
+# Other states that an engine replies.
 ACCEPTED = "accepted"
 RUNNING = "running"
 BUSY = "busy"
@@ -19,24 +19,25 @@
 
 
 class SendOrder(NamedTuple):
-    """Effect: post one order on a connection opened for it alone.
+    """Effect: send one order to an engine on a new connection.
 
-    Open the connection, then read the clock, and write only if it is still before
-    `not_after_s`; otherwise close the connection and answer `OrderCallFailed` with
-    ``sent`` false. Answer each effect by one event with its tag.
+    The receiver opens the connection, then reads the clock, and writes only if the
+    reading is before `not_after_s`. Otherwise it closes the connection and returns
+    `OrderCallFailed` with ``sent`` false. Each effect is answered by exactly one event
+    with the same tag.
 
     Parameters
     ----------
     engine, order_id : str
-        The engine's name and the order's id, by which the engine knows a repeat.
+        The engine's name, and the order's id by which the engine detects a repeat.
     term : int
         The fencing number.
     goal : dict
-        The engine's goal, as its interface describes it.
+        Target state of the engine, in the form of the engine's interface.
     not_after_s : float
-        When the lease ends on this host's clock.
+        End of the lease, as a reading of this host's clock in seconds.
     tag : str
-        Names this effect.
+        Id of this effect.
     """
 
     engine: str
@@ -48,14 +49,14 @@
 
 
 class QueryOrder(NamedTuple):
-    """Effect: ask the engine for its newest order; answer by one event."""
+    """Effect: query the engine's newest order; answered by exactly one event."""
 
     engine: str
     tag: str
 
 
 class OrderEnded(NamedTuple):
-    """Effect: an order has ended, and the engine may get another."""
+    """Effect: an order has ended; the engine may be sent another one."""
 
     engine: str
     order_id: str
@@ -65,25 +66,25 @@
 
 
 class TermsClosed(NamedTuple):
-    """Effect: orders of these former terms can come no more; tell the lease."""
+    """Effect: no order of these former terms can arrive; pass it to the lease."""
 
     terms: tuple[int, ...]
 
 
 class OrderReply(NamedTuple):
-    """Event: the engine answered.
+    """Event: the engine replied.
 
     Parameters
     ----------
     engine, order_id : str
-        The engine and the order that it spoke of, empty when it has none.
+        The engine and the order that the reply is about, empty if it has none.
     state : str
         ``accepted``, ``running``, ``done``, ``failed``, ``none``, or a refusal:
         ``busy``, ``stale_term``.
     tag : str
         The effect's tag.
     detail : str
-        The engine's own words, for operators.
+        Text of the engine, for operators.
     """
 
     engine: str
@@ -94,7 +95,7 @@
 
 
 class OrderCallFailed(NamedTuple):
-    """Event: no usable answer; ``sent`` is false only if no byte was written."""
+    """Event: no usable reply; ``sent`` is false only if no byte was written."""
 
     engine: str
     order_id: str
--- a/libs/coordination/tests/test_lease.py
+++ b/libs/coordination/tests/test_lease.py
@@ -221,7 +221,7 @@
                 continue
             effects.extend(lease.handle(step * 0.5, CallFailed(effect.tag, sent=True)))
     assert said == [(6.0, LeaseLost(1))]
-    assert len(lease._sent_s) < 20
+    assert len(lease._pending_writes_s) < 20
     (gained,) = run(lease, store, 300.0)
     assert gained.term == 2
 
