--- a/libs/coordination/gypsumusher_coordination/config.py
+++ b/libs/coordination/gypsumusher_coordination/config.py
@@ -1,4 +1,4 @@
-"""One host's copy of the configuration, which only ever moves to a higher number."""
+"""One host's replica of the configuration, which only moves to higher numbers."""
 
 from typing import Any, NamedTuple
 
@@ -37,13 +37,13 @@
     "merge_patch",
 ]
 
-# A section that did not come is asked for again well inside the 12 s in which a
-# configuration has to be in force, yet seldom enough to stay out of the read rate.
-SECTION_RETRY_S = 0.5
+# Missing sections are fetched again several times within the 12 s in which a new
+# configuration must be in force, without a noticeable share of the read rate.
+SECTION_RETRY_DELAY_S = 0.5
 
 
 class FetchSection(NamedTuple):
-    """Effect: fetch the section of this hash from the platform or from a peer."""
+    """Effect: fetch the section with this hash from the platform or from a peer."""
 
     hash: str
 
@@ -54,7 +54,7 @@
     Parameters
     ----------
     number : int
-        Its number, higher than any before.
+        The configuration's number, higher than any earlier one.
     document : dict
         The document with defaults filled in. The receiver must not change it.
     """
@@ -64,7 +64,7 @@
 
 
 class ConfigReplica:
-    """Takes heads and sections from the platform and from peers alike.
+    """Adopts configurations from heads and sections of the platform or of peers.
 
     Parameters
     ----------
@@ -78,25 +78,25 @@
         self.document: dict | None = None
         self._pending: dict | None = None
         self._sections: dict[str, Any] = {}
-        self._asked_s = float("-inf")
+        self._last_fetch_s = float("-inf")
 
     @property
     def number(self) -> int:
-        """The number in force here, 0 before the first."""
+        """The number of the configuration in force, 0 before the first one."""
         return 0 if self.head is None else self.head["number"]
 
     @property
     def sections(self) -> dict[str, Any]:
-        """The known sections by hash, to answer peers and to build patches on."""
+        """The known sections by hash, for requests of peers and for patches."""
         return self._sections
 
     def on_head(self, now_s: float, head: Any) -> list[FetchSection | ConfigAdopted]:
-        """Take a head from the platform or a peer.
+        """Handle a head that the platform or a peer sent.
 
-        Failure guarded against: a late answer, a slow peer or a platform that
-        answers from an old copy brings a head that was already replaced; adopting
-        it would put an old configuration back in force. Numbers only grow with each
-        accepted patch, so comparing them is enough, whoever sent the head.
+        A late response, a slow peer or a platform that responds from an old copy may
+        deliver a head that has been replaced. Adopting it would put an old
+        configuration back in force. Each accepted patch increases the number, so
+        heads are ordered by their number, whoever sent them.
         """
         if not is_valid_head(head):
             return []
@@ -109,10 +109,10 @@
     def on_section(
         self, now_s: float, section_hash: str, value: Any
     ) -> list[FetchSection | ConfigAdopted]:
-        """Take a section that was fetched.
+        """Handle a section that was fetched.
 
-        A section under a hash that isn't its own (a mixed-up answer, a damaged
-        copy) is dropped: it would put in force what no operator wrote.
+        A section that doesn't match its hash (a mixed-up response, a damaged copy) is
+        dropped, since it would put in force values that no operator wrote.
         """
         if section_hash not in self._missing():
             return []
@@ -124,8 +124,8 @@
         return self._advance(now_s)
 
     def tick(self, now_s: float) -> list[FetchSection | ConfigAdopted]:
-        """Ask again for sections that did not come."""
-        if self._pending is None or now_s < self._asked_s + SECTION_RETRY_S:
+        """Fetch sections again that have not arrived."""
+        if self._pending is None or now_s < self._last_fetch_s + SECTION_RETRY_DELAY_S:
             return []
         return self._advance(now_s)
 
@@ -138,20 +138,20 @@
     def _advance(self, now_s: float) -> list[FetchSection | ConfigAdopted]:
         missing = self._missing()
         if missing:
-            self._asked_s = now_s
+            self._last_fetch_s = now_s
             return [FetchSection(section_hash) for section_hash in missing]
         return [self._adopt()]
 
     def _adopt(self) -> ConfigAdopted:
         self.head = self._pending
         self._pending = None
-        named = self.head["sections"]
-        # Sections of older heads are dropped, so that a year of patches does not
-        # stay in memory.
+        hashes = self.head["sections"]
+        # Drops the sections of older heads, which would otherwise accumulate in memory
+        # over months of patches.
         self._sections = {
             section_hash: self._sections[section_hash]
-            for section_hash in named.values()
+            for section_hash in hashes.values()
         }
-        sections = {section: self._sections[named[section]] for section in named}
+        sections = {section: self._sections[hashes[section]] for section in hashes}
         self.document = fill_defaults(join_sections(sections))
         return ConfigAdopted(self.head["number"], self.document)
--- a/libs/coordination/gypsumusher_coordination/config_check.py
+++ b/libs/coordination/gypsumusher_coordination/config_check.py
@@ -1,16 +1,16 @@
-"""Check of a whole configuration document: each problem with its path and its mend."""
+"""Validates configuration documents: each problem with its path and its fix."""
 
 import math
 import re
 from collections.abc import Callable
 from typing import Any, NamedTuple
 
-NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]{0,62}")
-LONGEST_S = 86_400.0
-LONGEST_TEXT = 253
-# Beyond 12 s a host that is cut off could serve by a configuration that operators
-# already count as replaced everywhere.
-STALE_LIMIT_BELOW_S = 12.0
+NAME_PATTERN = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]{0,62}")
+MAX_DURATION_S = 86_400.0
+MAX_TEXT_CHARS = 253
+# Operators rely on a new configuration being in force everywhere within 12 s, so a
+# partitioned host must stop serving before that.
+STALE_LIMIT_BOUND_S = 12.0
 
 DEPLOYMENT_DEFAULTS: dict[str, Any] = {
     "tenant_weights": {},
@@ -39,7 +39,7 @@
 
 
 class Problem(NamedTuple):
-    """One fault of a document: where, what, and how to mend it."""
+    """One problem of a document: its path, what is wrong, and how to fix it."""
 
     path: str
     problem: str
@@ -50,18 +50,18 @@
 
 
 def check_document(document: Any) -> list[Problem]:
-    """Return every problem of a document; an empty list means that it may be used.
+    """Return all problems of a document; an empty list means that it is valid.
 
     Parameters
     ----------
     document : object
-        The whole document, as JSON or YAML gave it.
+        The whole document, as parsed from JSON or YAML.
     """
-    return _DOCUMENT(document, "")
+    return _check_document_fields(document, "")
 
 
 def fill_defaults(document: dict) -> dict:
-    """Return a checked document with each key that was left out at its default."""
+    """Return a valid document with defaults for the keys that it omits."""
     deployments = {
         name: {**DEPLOYMENT_DEFAULTS, **section}
         for name, section in document.get("deployments", {}).items()
@@ -74,96 +74,104 @@
     return {"deployments": deployments, "services": services, "hosts": hosts}
 
 
-def _wrong(path: str, value: Any, wanted: str) -> list[Problem]:
-    seen = repr(value)
-    if len(seen) > 60:
-        seen = seen[:60] + "..."
-    return [Problem(path or "document", f"is {seen}", f"give {wanted}")]
+def _problem(path: str, value: Any, expected: str) -> list[Problem]:
+    shown = repr(value)
+    if len(shown) > 60:
+        shown = shown[:60] + "..."
+    return [Problem(path or "document", f"is {shown}", f"give {expected}")]
 
 
-def _number(low: float, high: float, open_low: bool = False) -> Check:
-    bound = "above" if open_low else "from"
-    wanted = f"a number {bound} {low:g} up to {high:g}"
+def _number_check(low: float, high: float, exclude_low: bool = False) -> Check:
+    bound = "above" if exclude_low else "from"
+    expected = f"a number {bound} {low:g} up to {high:g}"
 
     def check(value, path):
         if type(value) not in {int, float} or not math.isfinite(value):
-            return _wrong(path, value, wanted)
-        if value > high or value < low or (open_low and value == low):
-            return _wrong(path, value, wanted)
+            return _problem(path, value, expected)
+        if value > high or value < low or (exclude_low and value == low):
+            return _problem(path, value, expected)
         return []
 
     return check
 
 
-def _integer(low: int, high: int) -> Check:
+def _integer_check(low: int, high: int) -> Check:
     def check(value, path):
         if type(value) is not int or not low <= value <= high:
-            return _wrong(path, value, f"a whole number from {low} to {high}")
+            return _problem(path, value, f"a whole number from {low} to {high}")
         return []
 
     return check
 
 
-def _choice(*choices: str) -> Check:
+def _choice_check(*choices: str) -> Check:
     def check(value, path):
         if not isinstance(value, str) or value not in choices:
-            return _wrong(path, value, "one of " + ", ".join(choices))
+            return _problem(path, value, "one of " + ", ".join(choices))
         return []
 
     return check
 
 
-def _boolean(value: Any, path: str) -> list[Problem]:
-    return [] if isinstance(value, bool) else _wrong(path, value, "true or false")
+def _check_boolean(value: Any, path: str) -> list[Problem]:
+    return [] if isinstance(value, bool) else _problem(path, value, "true or false")
 
 
-def _text(value: Any, path: str) -> list[Problem]:
-    if not isinstance(value, str) or not 0 < len(value) <= LONGEST_TEXT:
-        return _wrong(path, value, f"text of 1 to {LONGEST_TEXT} characters, quoted")
+def _check_text(value: Any, path: str) -> list[Problem]:
+    if not isinstance(value, str) or not 0 < len(value) <= MAX_TEXT_CHARS:
+        return _problem(
+            path, value, f"text of 1 to {MAX_TEXT_CHARS} characters, quoted"
+        )
     return []
 
 
-def _or_null(inner: Check) -> Check:
+def _nullable_check(item_check: Check) -> Check:
     def check(value, path):
-        return [] if value is None else inner(value, path)
+        return [] if value is None else item_check(value, path)
 
     return check
 
 
-def _list_of(inner: Check) -> Check:
+def _list_check(item_check: Check) -> Check:
     def check(value, path):
         if not isinstance(value, list):
-            return _wrong(path, value, "a list")
+            return _problem(path, value, "a list")
         problems = []
         for position, item in enumerate(value):
-            problems.extend(inner(item, f"{path}[{position}]"))
+            problems.extend(item_check(item, f"{path}[{position}]"))
         return problems
 
     return check
 
 
-def _mapping_of(inner: Check, named: bool = True, least: int = 0) -> Check:
+def _mapping_check(
+    item_check: Check, check_names: bool = True, min_entries: int = 0
+) -> Check:
     def check(value, path):
-        if not isinstance(value, dict) or len(value) < least:
-            return _wrong(path, value, f"a mapping of at least {least} entries")
+        if not isinstance(value, dict) or len(value) < min_entries:
+            return _problem(path, value, f"a mapping of at least {min_entries} entries")
         problems = []
         for key, item in value.items():
-            place = f"{path}.{key}"
-            if not isinstance(key, str) or (named and not NAME.fullmatch(key)):
+            item_path = f"{path}.{key}"
+            if not isinstance(key, str) or (
+                check_names and not NAME_PATTERN.fullmatch(key)
+            ):
                 problems.extend(
-                    _wrong(place, key, "a name of letters, digits, '.', '_' and '-'")
+                    _problem(
+                        item_path, key, "a name of letters, digits, '.', '_' and '-'"
+                    )
                 )
                 continue
-            problems.extend(inner(item, place))
+            problems.extend(item_check(item, item_path))
         return problems
 
     return check
 
 
-def _object(fields: dict[str, Check], optional: set[str]) -> Check:
+def _object_check(fields: dict[str, Check], optional: set[str]) -> Check:
     def check(value, path):
         if not isinstance(value, dict):
-            return _wrong(path, value, "a mapping")
+            return _problem(path, value, "a mapping")
         prefix = f"{path}." if path else ""
         problems = []
         for key, item in value.items():
@@ -181,19 +189,19 @@
     return check
 
 
-_CLASS_FIELDS = _object(
+_check_class_fields = _object_check(
     {
-        "rank": _integer(0, 1000),
-        "first_token_s": _number(0.0, LONGEST_S, open_low=True),
-        "between_tokens_s": _number(0.0, LONGEST_S, open_low=True),
-        "deadline_s": _number(0.0, LONGEST_S, open_low=True),
+        "rank": _integer_check(0, 1000),
+        "first_token_s": _number_check(0.0, MAX_DURATION_S, exclude_low=True),
+        "between_tokens_s": _number_check(0.0, MAX_DURATION_S, exclude_low=True),
+        "deadline_s": _number_check(0.0, MAX_DURATION_S, exclude_low=True),
     },
     optional=set(),
 )
 
 
-def _class(value: Any, path: str) -> list[Problem]:
-    problems = _CLASS_FIELDS(value, path)
+def _check_class(value: Any, path: str) -> list[Problem]:
+    problems = _check_class_fields(value, path)
     if not problems and value["first_token_s"] > value["deadline_s"]:
         problems.append(
             Problem(
@@ -205,42 +213,46 @@
     return problems
 
 
-_DEPLOYMENT_FIELDS = _object(
+_check_deployment_fields = _object_check(
     {
-        "model": _text,
-        "version": _text,
-        "default_class": _text,
-        "classes": _mapping_of(_class, least=1),
-        "tenant_weights": _mapping_of(_number(0.0, 1e6, open_low=True), named=False),
-        "role_change_price_s": _number(0.0, LONGEST_S),
-        "role_change_s": _number(0.0, LONGEST_S),
-        "dwell_s": _number(0.0, LONGEST_S),
-        "shifting": _boolean,
-        "fencing": _choice("refuses", "ignores"),
-        "order_timeout_s": _or_null(_number(0.0, LONGEST_S, open_low=True)),
-        "platform_down": _choice("refuse", "run_unjournaled"),
-        "retry_ratio": _number(0.0, 1.0),
-        "cell_hosts": _integer(1, 10_000),
-        "loads_at_once": _integer(1, 10_000),
-        "drain": _list_of(_text),
+        "model": _check_text,
+        "version": _check_text,
+        "default_class": _check_text,
+        "classes": _mapping_check(_check_class, min_entries=1),
+        "tenant_weights": _mapping_check(
+            _number_check(0.0, 1e6, exclude_low=True), check_names=False
+        ),
+        "role_change_price_s": _number_check(0.0, MAX_DURATION_S),
+        "role_change_s": _number_check(0.0, MAX_DURATION_S),
+        "dwell_s": _number_check(0.0, MAX_DURATION_S),
+        "shifting": _check_boolean,
+        "fencing": _choice_check("refuses", "ignores"),
+        "order_timeout_s": _nullable_check(
+            _number_check(0.0, MAX_DURATION_S, exclude_low=True)
+        ),
+        "platform_down": _choice_check("refuse", "run_unjournaled"),
+        "retry_ratio": _number_check(0.0, 1.0),
+        "cell_hosts": _integer_check(1, 10_000),
+        "loads_at_once": _integer_check(1, 10_000),
+        "drain": _list_check(_check_text),
     },
     optional=set(DEPLOYMENT_DEFAULTS),
 )
 
 
-def _deployment(value: Any, path: str) -> list[Problem]:
-    problems = _DEPLOYMENT_FIELDS(value, path)
+def _check_deployment(value: Any, path: str) -> list[Problem]:
+    problems = _check_deployment_fields(value, path)
     if problems:
         return problems
     classes = value["classes"]
     if value["default_class"] not in classes:
         known = ", ".join(sorted(classes))
         problems.extend(
-            _wrong(f"{path}.default_class", value["default_class"], f"one of {known}")
+            _problem(f"{path}.default_class", value["default_class"], f"one of {known}")
         )
     ranks = [policy["rank"] for policy in classes.values()]
     if len(set(ranks)) < len(ranks):
-        # Two classes of one rank would leave open which of them is shed first.
+        # With equal ranks it would be undefined which of the classes is shed first.
         problems.append(
             Problem(
                 f"{path}.classes",
@@ -251,30 +263,30 @@
     return problems
 
 
-def _method(value: Any, path: str) -> list[Problem]:
+def _check_method(value: Any, path: str) -> list[Problem]:
     if not isinstance(value, str) or not re.fullmatch(r"[A-Z]{1,20}", value):
-        return _wrong(path, value, "an HTTP method in capitals")
+        return _problem(path, value, "an HTTP method in capitals")
     return []
 
 
-_DOCUMENT = _object(
+_check_document_fields = _object_check(
     {
-        "deployments": _mapping_of(_deployment),
-        "services": _mapping_of(
-            _object(
+        "deployments": _mapping_check(_check_deployment),
+        "services": _mapping_check(
+            _object_check(
                 {
-                    "repeatable_methods": _list_of(_method),
-                    "timeout_s": _number(0.0, LONGEST_S, open_low=True),
-                    "drain": _list_of(_text),
+                    "repeatable_methods": _list_check(_check_method),
+                    "timeout_s": _number_check(0.0, MAX_DURATION_S, exclude_low=True),
+                    "drain": _list_check(_check_text),
                 },
                 optional=set(SERVICE_DEFAULTS),
             )
         ),
-        "hosts": _object(
+        "hosts": _object_check(
             {
-                "drain": _list_of(_text),
-                "stale_config": _choice("stop", "serve"),
-                "stale_limit_s": _number(1.0, STALE_LIMIT_BELOW_S - 1.0),
+                "drain": _list_check(_check_text),
+                "stale_config": _choice_check("stop", "serve"),
+                "stale_limit_s": _number_check(1.0, STALE_LIMIT_BOUND_S - 1.0),
             },
             optional=set(HOSTS_DEFAULTS),
         ),
--- a/libs/coordination/gypsumusher_coordination/config_patch.py
+++ b/libs/coordination/gypsumusher_coordination/config_patch.py
@@ -1,4 +1,4 @@
-"""One operator's patch against a numbered configuration, applied once or not at all."""
+"""Applies an operator's patch to a numbered configuration at most once."""
 
 from collections.abc import Callable, Mapping
 from typing import Any, NamedTuple
@@ -26,42 +26,43 @@
 HEAD_KIND = "config"
 HEAD_NAME = "head"
 SECTION_KIND = "configsections"
-# Patches that the head remembers, so that a retry after a lost answer finds its own.
-PATCHES_KEPT = 64
-LONGEST_NOTE = 1000
-LONGEST_ID = 64
-# An operator waits for the answer; five seconds outlast a lost answer and a short
-# stall of the platform, and end long before the operator would.
+# Entries in the head's patch history. A retry after a lost response finds its own patch
+# in it.
+MAX_HISTORY_PATCHES = 64
+MAX_NOTE_CHARS = 1000
+MAX_ID_CHARS = 64
+# An operator waits for the result. Five seconds cover a lost response and a short stall
+# of the platform, and are shorter than an operator's patience.
 ATTEMPT_TIMEOUT_S = 5.0
-RETRY_S = 0.25
+RETRY_DELAY_S = 0.25
 
 
 class PatchAccepted(NamedTuple):
-    """The patch is in the configuration of this number."""
+    """Result: the patch was applied and created the configuration with this number."""
 
     number: int
     changed: list[str]
 
 
 class PatchOutdated(NamedTuple):
-    """The configuration moved on since the number that the patch was written for."""
+    """Result: other patches were applied since the patch's base number."""
 
     number: int
     changed_since: list[str]
 
 
 class PatchInvalid(NamedTuple):
-    """The patch, or the document that it would make, has these problems."""
+    """Result: the patch, or the document that it would create, is invalid."""
 
     problems: list[Problem]
 
 
 class PatchUnavailable(NamedTuple):
-    """The platform could not be reached; the patch did not and will not take effect."""
+    """Result: the platform was unreachable; the patch won't take effect."""
 
 
 class PatchUnknown(NamedTuple):
-    """The answer was lost and could not be read back; retry with the same patch_id."""
+    """Result: unknown, as a response was lost; retry with the same patch_id."""
 
 
 PatchEffect = (
@@ -76,28 +77,28 @@
 
 
 class PatchAttempt:
-    """Carries one patch to the platform; one conditional update of the head wins.
+    """Applies one patch by a conditional write of the configuration's head.
 
-    Failure guarded against: two operators patch the same number at once, and the
-    later write silently undoes the earlier. The head is written only on the version
-    that was read, and only if that version has the number the patch was written for.
+    If two operators patch the same number concurrently, the later write must not
+    silently undo the earlier one. The head is therefore written by compare-and-set on
+    the version that was read, and only if that version has the patch's base number.
 
     Parameters
     ----------
     base_number : int
-        Number that the patch was written for; 0 for the first configuration.
+        Number of the configuration that the patch is based on; 0 for the first one.
     patch : dict
         JSON merge patch.
     patch_id : str
-        The operator's id of this patch; a retry carries the same one.
+        The operator's id of this patch; a retry must use the same one.
     author, note : str
-        For the history.
+        Author and description for the patch history.
     check : callable
         Takes the whole new document and returns its list of `Problem`.
     sections : mapping of str to object, optional
-        Sections already known, by hash; the others are read.
+        Known sections by hash; the others are read from the platform.
     at : str
-        Time of the patch for the history, in a form for people.
+        Time of the patch for the history, as human-readable text.
     """
 
     def __init__(
@@ -121,18 +122,18 @@
         self.finished = False
         self._sections = dict(sections or {})
         self._deadline_s = float("inf")
-        self._calls = 0
-        # Calls whose answers are awaited, by tag; an answer to any other is late.
-        self._open: dict[str, ReadObject | WriteObject] = {}
-        self._retry: list[ReadObject | WriteObject] = []
-        self._retry_s = float("inf")
-        self._maybe_written = False
+        self._call_count = 0
+        # Calls in flight by tag. Events with any other tag are late and ignored.
+        self._calls_in_flight: dict[str, ReadObject | WriteObject] = {}
+        self._failed_calls: list[ReadObject | WriteObject] = []
+        self._next_retry_s = float("inf")
+        self._is_head_write_unknown = False
         self._head: StoredObject | None = None
-        self._unwritten: list[str] = []
+        self._unwritten_sections: list[str] = []
         self._new_head: dict = {}
 
     def start(self, now_s: float) -> list[PatchEffect]:
-        """Begin; returns the first effects."""
+        """Start the attempt; return the first effects."""
         self._deadline_s = now_s + ATTEMPT_TIMEOUT_S
         problems = self._check_arguments()
         if problems:
@@ -140,8 +141,8 @@
         return [self._read(HEAD_KIND, HEAD_NAME)]
 
     def handle(self, now_s: float, event: CallEvent) -> list[PatchEffect]:
-        """Take the answer to a call."""
-        call = self._open.pop(event.tag, None)
+        """Handle the response to a call."""
+        call = self._calls_in_flight.pop(event.tag, None)
         if call is None or self.finished:
             return []
         if isinstance(event, CallFailed):
@@ -153,19 +154,19 @@
         return self._on_head(event.stored)
 
     def tick(self, now_s: float) -> list[PatchEffect]:
-        """Repeat calls that failed, or give up at the limit."""
+        """Repeat failed calls; end the attempt after the timeout."""
         if self.finished:
             return []
         if now_s >= self._deadline_s:
-            # A head write that was sent may land after this, so only an attempt
-            # that never sent one may say that nothing took effect.
-            sent = self._maybe_written or self._is_writing_head()
+            # A head write that was sent may take effect later. Only an attempt that
+            # never sent one may report that the patch did not take effect.
+            sent = self._is_head_write_unknown or self._is_writing_head()
             return self._finish(PatchUnknown() if sent else PatchUnavailable())
-        if now_s < self._retry_s:
+        if now_s < self._next_retry_s:
             return []
-        calls, self._retry = self._retry, []
-        self._retry_s = float("inf")
-        return [self._again(call) for call in calls]
+        calls, self._failed_calls = self._failed_calls, []
+        self._next_retry_s = float("inf")
+        return [self._repeat(call) for call in calls]
 
     def _check_arguments(self) -> list[Problem]:
         problems = []
@@ -174,17 +175,17 @@
             problems.append(Problem("base_number", f"is {self.base_number!r}", mend))
         if not isinstance(self.patch, dict):
             problems.append(Problem("patch", "is not an object", "give an object"))
-        if not _is_text(self.patch_id, LONGEST_ID) or not self.patch_id:
-            mend = f"give 1 to {LONGEST_ID} characters, new for each patch"
+        if not _is_text(self.patch_id, MAX_ID_CHARS) or not self.patch_id:
+            mend = f"give 1 to {MAX_ID_CHARS} characters, new for each patch"
             problems.append(Problem("patch_id", "is not such an id", mend))
         for path, text in (("author", self.author), ("note", self.note)):
-            if not _is_text(text, LONGEST_NOTE):
-                mend = f"give text of at most {LONGEST_NOTE} characters"
+            if not _is_text(text, MAX_NOTE_CHARS):
+                mend = f"give text of at most {MAX_NOTE_CHARS} characters"
                 problems.append(Problem(path, "is not such a text", mend))
         return problems
 
     def _on_head(self, stored: StoredObject | None) -> list[PatchEffect]:
-        """Decide by the head as it stands, after a read or a lost race."""
+        """Decide by the current head, after a read or a write conflict."""
         if stored is not None and not is_valid_head(stored.value):
             mend = "mend the object config/head on the platform"
             return self._finish(
@@ -192,9 +193,9 @@
             )
         head = _empty_head() if stored is None else stored.value
         self._head = StoredObject(0, head) if stored is None else stored
-        own = _find_patch(head, self.patch_id)
-        if own is not None:
-            return self._judge_own(own)
+        own_entry = _find_patch(head, self.patch_id)
+        if own_entry is not None:
+            return self._on_own_patch(own_entry)
         number = head["number"]
         if number < self.base_number:
             mend = f"the newest number is {number}"
@@ -203,63 +204,67 @@
             )
         if number > self.base_number:
             return self._on_outdated(head)
-        return self._on_base()
+        return self._on_base_head()
 
-    def _judge_own(self, own: dict) -> list[PatchEffect]:
-        same = own.get("patch_hash") == self._patch_hash()
-        if same and own["number"] == self.base_number + 1:
-            return self._accepted(own)
+    def _on_own_patch(self, own_entry: dict) -> list[PatchEffect]:
+        is_same_patch = own_entry.get("patch_hash") == self._patch_hash()
+        if is_same_patch and own_entry["number"] == self.base_number + 1:
+            return self._accepted(own_entry)
         mend = "give each patch an id of its own"
-        problem = f"was used by the patch of number {own['number']}"
+        problem = f"was used by the patch of number {own_entry['number']}"
         return self._finish(PatchInvalid([Problem("patch_id", problem, mend)]))
 
     def _on_outdated(self, head: dict) -> list[PatchEffect]:
         numbers = [patch["number"] for patch in head["patches"]]
-        complete = self.base_number + 1 in numbers
-        if not complete and (self._maybe_written or self._is_writing_head()):
-            # The entry that would show whether the lost write won has been pruned.
+        has_all_entries = self.base_number + 1 in numbers
+        if not has_all_entries and (
+            self._is_head_write_unknown or self._is_writing_head()
+        ):
+            # The history entry that would show whether the lost write took effect has
+            # been pruned.
             return self._finish(PatchUnknown())
         changed = set(head["sections"])
-        if complete:
+        if has_all_entries:
             changed = set()
             for patch in head["patches"]:
                 if patch["number"] > self.base_number:
                     changed.update(patch["changed"])
         return self._finish(PatchOutdated(head["number"], sorted(changed)))
 
-    def _on_base(self) -> list[PatchEffect]:
-        """Fetch what is missing of the base, then build, check and write the new."""
+    def _on_base_head(self) -> list[PatchEffect]:
+        """Read the base's missing sections, or build and write the new head."""
         needed = set(self._head.value["sections"].values())
         missing = sorted(needed - set(self._sections))
         if missing:
             return [self._read(SECTION_KIND, name) for name in missing]
-        return self._build()
+        return self._build_and_write()
 
-    def _build(self) -> list[PatchEffect]:
+    def _build_and_write(self) -> list[PatchEffect]:
         head = self._head.value
-        old = {
+        old_sections = {
             name: self._sections[digest] for name, digest in head["sections"].items()
         }
         try:
-            document = merge_patch(join_sections(old), self.patch)
+            document = merge_patch(join_sections(old_sections), self.patch)
         except ValueError as exc:
             problem = Problem("patch", str(exc), "give a flatter patch")
             return self._finish(PatchInvalid([problem]))
         problems = self.check(document)
         if problems:
             return self._finish(PatchInvalid(problems))
-        new = split_document(document)
-        hashes = {name: content_hash(value) for name, value in new.items()}
+        new_sections = split_document(document)
+        hashes = {name: content_hash(value) for name, value in new_sections.items()}
         self._new_head = self._make_head(head, hashes)
         known = set(head["sections"].values())
-        values = {hashes[name]: new[name] for name in new}
-        self._unwritten = sorted(set(values) - known)
-        if not self._unwritten:
+        values = {hashes[name]: new_sections[name] for name in new_sections}
+        self._unwritten_sections = sorted(set(values) - known)
+        if not self._unwritten_sections:
             return [self._write_head()]
-        # The head may name a section only once the section stands: a host that
-        # hears of the head at once must be able to fetch it.
+        # Sections are written before the head that refers to them, because a host that
+        # receives the head immediately must be able to fetch them.
         return [
-            self._write(SECTION_KIND, name, values[name], 0) for name in self._unwritten
+            self._write(SECTION_KIND, name, values[name], 0)
+            for name in self._unwritten_sections
         ]
 
     def _make_head(self, head: dict, hashes: dict[str, str]) -> dict:
@@ -276,7 +281,7 @@
             "changed": changed,
             "at": self.at,
         }
-        patches = [*head["patches"], entry][-PATCHES_KEPT:]
+        patches = [*head["patches"], entry][-MAX_HISTORY_PATCHES:]
         return {
             "number": self.base_number + 1,
             "sections": hashes,
@@ -289,29 +294,34 @@
             if stored is None or not matches_hash(stored.value, call.name):
                 return self._retry_later(now_s, call)
             self._sections[call.name] = stored.value
-            return [] if self._open or self._retry else self._build()
+            return (
+                []
+                if self._calls_in_flight or self._failed_calls
+                else self._build_and_write()
+            )
         if isinstance(event, WriteConflict) and event.stored is None:
             return self._retry_later(now_s, call)
-        # A conflict means that the section stands already: its name is its content.
-        self._unwritten.remove(call.name)
-        return [] if self._unwritten else [self._write_head()]
+        # A conflict means that the section exists already, as its name is its hash.
+        self._unwritten_sections.remove(call.name)
+        return [] if self._unwritten_sections else [self._write_head()]
 
     def _on_failed(self, now_s: float, call, sent: bool) -> list[PatchEffect]:
         if not isinstance(call, WriteObject) or call.kind == SECTION_KIND:
             return self._retry_later(now_s, call)
         if not sent:
             return self._retry_later(now_s, call)
-        # The write may have taken effect, or may yet. Reading tells which, and
-        # writing again is safe: both carry the same if_version, so one wins.
-        self._maybe_written = True
+        # The write may have taken effect or may still do so. Reading the head shows
+        # which, and writing again is safe: both writes have the same if_version, so
+        # at most one succeeds.
+        self._is_head_write_unknown = True
         return self._retry_later(now_s, ReadObject("", HEAD_KIND, HEAD_NAME))
 
     def _retry_later(self, now_s: float, call) -> list[PatchEffect]:
-        self._retry.append(call)
-        self._retry_s = now_s + RETRY_S
+        self._failed_calls.append(call)
+        self._next_retry_s = now_s + RETRY_DELAY_S
         return []
 
-    def _again(self, call: ReadObject | WriteObject) -> ReadObject | WriteObject:
+    def _repeat(self, call: ReadObject | WriteObject) -> ReadObject | WriteObject:
         if isinstance(call, ReadObject):
             return self._read(call.kind, call.name)
         return self._write(call.kind, call.name, call.value, call.if_version)
@@ -321,14 +331,14 @@
 
     def _finish(self, outcome: PatchEffect) -> list[PatchEffect]:
         self.finished = True
-        self._open.clear()
-        self._retry.clear()
+        self._calls_in_flight.clear()
+        self._failed_calls.clear()
         return [outcome]
 
     def _is_writing_head(self) -> bool:
         return any(
             isinstance(call, WriteObject) and call.kind == HEAD_KIND
-            for call in self._open.values()
+            for call in self._calls_in_flight.values()
         )
 
     def _patch_hash(self) -> str:
@@ -338,19 +348,19 @@
         return self._write(HEAD_KIND, HEAD_NAME, self._new_head, self._head.version)
 
     def _read(self, kind: str, name: str) -> ReadObject:
-        return self._opened(ReadObject(self._next_tag(), kind, name))
+        return self._start_call(ReadObject(self._next_tag(), kind, name))
 
     def _write(self, kind: str, name: str, value: Any, if_version: int) -> WriteObject:
-        return self._opened(
+        return self._start_call(
             WriteObject(self._next_tag(), kind, name, value, if_version)
         )
 
     def _next_tag(self) -> str:
-        self._calls += 1
-        return f"patch:{self.patch_id}:{self._calls}"
+        self._call_count += 1
+        return f"patch:{self.patch_id}:{self._call_count}"
 
-    def _opened(self, call):
-        self._open[call.tag] = call
+    def _start_call(self, call):
+        self._calls_in_flight[call.tag] = call
         return call
 
 
@@ -365,5 +375,5 @@
     return None
 
 
-def _is_text(value: Any, longest: int) -> bool:
-    return isinstance(value, str) and len(value) <= longest
+def _is_text(value: Any, max_chars: int) -> bool:
+    return isinstance(value, str) and len(value) <= max_chars
--- a/libs/coordination/gypsumusher_coordination/config_sections.py
+++ b/libs/coordination/gypsumusher_coordination/config_sections.py
@@ -1,4 +1,4 @@
-"""The configuration document as sections that are named by their content's hash."""
+"""Splits the configuration document into sections that are stored by content hash."""
 
 import hashlib
 import json
@@ -6,11 +6,11 @@
 
 HOSTS_SECTION = "hosts"
 GROUPS = ("deployments", "services")
-HASH_CHARACTERS = 64
+HASH_HEX_DIGITS = 64
 
 
 def canonical_json(value: Any) -> bytes:
-    """Return the one byte form of a JSON value: sorted keys, no spaces, UTF-8."""
+    """Return the canonical JSON encoding: sorted keys, no spaces, UTF-8."""
     text = json.dumps(
         value,
         sort_keys=True,
@@ -22,12 +22,12 @@
 
 
 def content_hash(value: Any) -> str:
-    """Return the hexadecimal sha256 of a JSON value's canonical form."""
+    """Return the hexadecimal SHA-256 of a value's canonical JSON encoding."""
     return hashlib.sha256(canonical_json(value)).hexdigest()
 
 
 def matches_hash(value: Any, expected_hash: str) -> bool:
-    """Return whether a value that came from elsewhere has the hash it came under."""
+    """Return whether a value that another host sent has the expected hash."""
     try:
         return content_hash(value) == expected_hash
     except (TypeError, ValueError, RecursionError):
@@ -35,7 +35,7 @@
 
 
 def split_document(document: dict) -> dict[str, Any]:
-    """Return the sections of a document, by ``deployments/NAME`` and the like."""
+    """Return a document's sections by name, such as ``deployments/NAME``."""
     sections = {}
     for group in GROUPS:
         for name, value in document.get(group, {}).items():
@@ -46,7 +46,7 @@
 
 
 def join_sections(sections: dict[str, Any]) -> dict[str, Any]:
-    """Return the document that the sections make up."""
+    """Return the document that consists of these sections."""
     document: dict[str, Any] = {"deployments": {}, "services": {}}
     for section in sorted(sections):
         group, _, name = section.partition("/")
@@ -58,7 +58,7 @@
 
 
 def is_valid_head(head: Any) -> bool:
-    """Return whether a value that came from elsewhere has the form of a head."""
+    """Return whether a value that another host sent is a well-formed head."""
     if not isinstance(head, dict):
         return False
     number = head.get("number")
@@ -83,4 +83,4 @@
 
 
 def _is_hash(text: Any) -> bool:
-    return isinstance(text, str) and len(text) == HASH_CHARACTERS
+    return isinstance(text, str) and len(text) == HASH_HEX_DIGITS
--- a/libs/coordination/gypsumusher_coordination/config_staleness.py
+++ b/libs/coordination/gypsumusher_coordination/config_staleness.py
@@ -1,4 +1,4 @@
-"""Whether a host that is cut off from the platform and its peers may still serve."""
+"""Decides whether a partitioned host may serve by the configuration it has."""
 
 from collections.abc import Collection, Mapping
 
@@ -13,72 +13,77 @@
     host: str,
     hosts: Collection[str],
 ) -> float:
-    """Return when this host last could know which configuration is in force.
+    """Return when this host could last learn which configuration is in force.
 
     Parameters
     ----------
     now_s : float
-        Reading of this host's clock.
-    platform_heard_s : float
-        When the last call that the platform answered was sent.
-    peers_heard_s : mapping of str to float
-        When the last answered probe of each peer was sent.
+        Reading of this host's clock, in seconds.
+    platform_contact_s : float
+        Send time of the last call that the platform answered.
+    peer_contacts_s : mapping of str to float
+        Send time of the last answered probe, by peer.
     host : str
-        This host; it hears itself.
+        This host, which counts as in contact with itself.
     hosts : collection of str
-        The last known entry hosts, this one included, without those that left.
+        Last known entry hosts including this one, without those that left.
 
     Returns
     -------
     float
-        The later of two times: when the platform was heard, and the latest time
-        since which a majority of the hosts, this one included, has been heard.
+        The later of two clock readings: the last contact with the platform, and the
+        latest time since which this host has been in contact with a majority of the
+        hosts, itself included.
     """
-    heard = []
+    contacts_s = []
     for name in hosts:
         if name == host:
-            heard.append(now_s)
+            contacts_s.append(now_s)
             continue
-        heard.append(peer_contacts_s.get(name, float("-inf")))
+        contacts_s.append(peer_contacts_s.get(name, float("-inf")))
     if host not in hosts:
-        heard.append(now_s)
-    heard.sort(reverse=True)
-    majority = len(heard) // 2 + 1
-    return max(platform_contact_s, heard[majority - 1])
+        contacts_s.append(now_s)
+    contacts_s.sort(reverse=True)
+    majority = len(contacts_s) // 2 + 1
+    return max(platform_contact_s, contacts_s[majority - 1])
 
 
 def may_serve(
     now_s: float, contact_s: float, stale_config: str, limit_s: float
 ) -> bool:
-    """Return whether the host may go on by the configuration it has.
+    """Return whether the host may accept requests by the configuration it has.
 
-    Decision. Load: a partition that leaves one host, or a few, with neither the
-    platform nor most of the fleet, while callers still reach it. Harm prevented: an
-    operator takes a configuration as in force everywhere within 12 s; a host that
-    serves on by an old one sends work to an endpoint that was drained, or runs a
-    model version that was withdrawn, and the promise is broken without a trace.
-    A host that only lost the platform serves on, because the platform's outage must
-    not stop the fleet, and because any peer that still hears the platform passes
-    its head on. A majority is asked for rather than one peer, because two hosts cut
-    off together prove nothing to each other, while a majority of the fleet can't be
-    on both sides of a cut. What this can't see: a majority that lost the platform
-    while a minority kept it; it serves on, as in an outage, until the cut ends.
-    And in a fleet of two, a host that lost both the platform and its only peer stops,
-    whichever of the two is gone.
+    A network partition can leave a few hosts without the platform and without most
+    of the other hosts while callers still reach them. Operators rely on a new
+    configuration being in force everywhere within 12 s. A host that went on serving
+    by an old one would send work to a drained endpoint or run a withdrawn model
+    version, unnoticed.
 
-    The limit lies under 12 s and leaves time for requests already admitted to get
-    their answers: the host refuses new work and finishes what runs. A paused host
-    that wakes has an old reading too, so it asks before it serves. ``serve`` gives
-    up the promise for availability, for fleets that rather serve stale than refuse.
+    A host that lost only the platform goes on serving: an outage of the platform must
+    not stop all hosts, and any peer that still reaches the platform forwards the
+    configuration head. Contact with a majority of the hosts is required rather than
+    with one peer, because two hosts that are partitioned together can't confirm
+    anything to each other, while a majority can't exist on both sides of a
+    partition.
+
+    Two cases are not covered. A majority that lost the platform while a minority
+    still reaches it goes on serving, as in an outage, until the partition ends. With
+    two hosts, a host that lost both the platform and its peer stops, even if the peer
+    is down.
+
+    The limit is below 12 s to leave time for requests that were already admitted: the
+    host refuses new work and finishes what runs. The last contact of a host that
+    resumes after a pause is old too, so it doesn't serve before it has made contact
+    again. ``serve`` trades the 12 s guarantee for availability.
 
     Parameters
     ----------
     now_s, last_heard_s : float
-        This host's clock now, and what `last_contact_s` gave.
+        Reading of this host's clock, and the result of `last_contact_s`.
     stale_config : str
         The setting ``hosts.stale_config``, ``stop`` or ``serve``.
     limit_s : float
-        The setting ``hosts.stale_limit_s``.
+        The setting ``hosts.stale_limit_s``: longest time without contact, in seconds.
 
     Returns
     -------
--- a/libs/coordination/gypsumusher_coordination/merge_patch.py
+++ b/libs/coordination/gypsumusher_coordination/merge_patch.py
@@ -2,22 +2,25 @@
 
 from typing import Any
 
-# A document is five levels deep; the limit keeps a hostile patch from exhausting
-# the stack, far above anything that could pass the document's check.
+# Keeps a malicious patch from exhausting the stack. Valid documents are five levels
+# deep.
 MAX_DEPTH = 32
 
 
-def merge_patch(document: Any, patch: Any, level: int = 0) -> Any:
-    """Return `document` with `patch` applied; neither is changed.
+def merge_patch(document: Any, patch: Any, depth: int = 0) -> Any:
+    """Return a copy of `document` with the merge patch applied.
+
+    Neither argument is changed.
 
     Parameters
     ----------
     document : object
         Any JSON value.
     patch : object
-        JSON value: objects merge key by key, null removes a key, all else replaces.
-    level : int
-        Depth of this call; callers leave it alone.
+        JSON value: objects are merged key by key, null removes a key, and any other
+        value replaces the old one.
+    depth : int
+        Recursion depth; callers use the default.
 
     Raises
     ------
@@ -28,7 +31,7 @@
     ----------
     RFC 7396, JSON Merge Patch.
     """
-    if level > MAX_DEPTH:
+    if depth > MAX_DEPTH:
         raise ValueError(f"the patch nests deeper than {MAX_DEPTH} levels")
     if not isinstance(patch, dict):
         return patch
@@ -37,5 +40,5 @@
         if value is None:
             merged.pop(key, None)
             continue
-        merged[key] = merge_patch(merged.get(key), value, level + 1)
+        merged[key] = merge_patch(merged.get(key), value, depth + 1)
     return merged
