--- a/libs/coordination/gypsumusher_coordination/__init__.py
+++ b/libs/coordination/gypsumusher_coordination/__init__.py
@@ -1,4 +1,9 @@
-"""Coordination state machines without input or output."""
+"""State machines for the coordination of hosts, without I/O.
+
+Leases with fencing numbers, orders to engines, the replicated configuration, the claim
+journal of idempotency keys and the membership of cells. The state machines take clock
+readings and events and return effects, which the caller carries out.
+"""
 
 from gypsumusher_coordination.claims import CallerKeyClaim
 from gypsumusher_coordination.config import (
--- a/libs/coordination/gypsumusher_coordination/membership.py
+++ b/libs/coordination/gypsumusher_coordination/membership.py
@@ -1,15 +1,17 @@
-"""Which hosts of a cell answer, and which endpoints are leaving.
+"""Gossip membership of one cell: which hosts respond, which endpoints are leaving.
 
 Notes
 -----
-Suspicion steers routing only. Leases, versions and journals keep the promises, so a
-wrong suspicion costs time, never a promise, and the first sign of life heals it. It is
-this host's own and isn't passed on: each host of a cell probes each other one, and a
-host that is cut off would otherwise make all others suspect each other.
-
-An endpoint is leaving when the platform's list says so or the endpoint itself does,
-whichever is first heard here or at a peer. The two sources are kept apart: an endpoint
-whose host is being withdrawn may not know it yet and goes on to answer as usual.
+The suspicion of a host affects only routing. Correctness depends on leases, object
+versions and journals, so a wrong suspicion costs time at worst, and the next message
+from the host clears it. Suspicions are not gossiped, because every host of a cell
+probes every other one, and a partitioned host would otherwise make all other hosts
+suspect each other.
+
+An endpoint is leaving when the platform's endpoint list or the endpoint itself says so,
+to this host or to a peer. The states from the two sources are kept separately: an
+endpoint whose machine is being withdrawn may not know that yet and still respond as
+usual.
 """
 
 import hashlib
@@ -25,39 +27,40 @@
 SUSPECT = "suspect"
 LEAVING = "leaving"
 
-_COUNTER_LIMIT = 2**53
-_NAME_LIMIT = 128
-# Upper bounds of msgpack's own bytes around a string, a number, a list and a map.
-_STRING_HEAD_BYTES = 3
+_COUNTER_MAX = 2**53
+_NAME_MAX_CHARS = 128
+# Upper bounds of the msgpack overhead of a string, a list and a map, and of the size of
+# a number.
+_STRING_HEADER_BYTES = 3
 _NUMBER_BYTES = 9
-_LIST_HEAD_BYTES = 3
-_MAP_HEAD_BYTES = 1
+_LIST_HEADER_BYTES = 3
+_MAP_HEADER_BYTES = 1
 
 
 class MembershipPolicy(NamedTuple):
-    """The limits of membership in one cell.
+    """Intervals and limits of the membership of one cell.
 
     Parameters
     ----------
     probe_interval_s : float
-        Each host of the cell is probed this often. At 8 hosts this makes 7 exchanges
-        in 2 s, well inside a node's 2 KB/s for control.
+        Interval between probes of each other host. With 8 hosts this makes 7 probes
+        in 2 s, well below the limit of 2 KB/s per host for control traffic.
     probe_timeout_s : float
-        A probe without an answer counts as failed after this time.
+        Time after which a probe without a response counts as failed.
     suspect_after_failures : int
-        Failed probes in a row that make a host suspect. Two, as one is lost in every
-        short pause, and each suspicion moves load that then has to move back.
+        Number of consecutive failed probes that make a host suspect. A single probe
+        fails in every short pause, and each suspicion shifts load away and back.
     update_interval_s : float
-        A host with unacknowledged news is probed this soon, so that a leaving endpoint
-        is known in the whole cell in well under a second.
+        Interval between probes of a host with unacknowledged state updates, so that
+        the whole cell learns of a leaving endpoint in well under a second.
     source_lag_s : float
-        How long a source may contradict what peers say before it is believed against
-        them. Longer than the lag of the platform's list, so that a stale list doesn't
-        bring a leaving endpoint back.
+        How long a source must contradict the state received from peers before it
+        overrides it. Longer than the lag of the platform's list, so that a stale list
+        doesn't put a leaving endpoint back into service.
     updates_per_message : int
-        News in one probe at most; the rest follows in the next.
+        Maximum number of state updates in one probe; the rest follows in the next.
     max_endpoint_states : int
-        Facts kept at most; facts on further endpoints are not taken.
+        Maximum number of stored states; states of further endpoints are ignored.
     """
 
     probe_interval_s: float = 2.0
@@ -73,29 +76,29 @@
 
 
 class EndpointState(NamedTuple):
-    """What one source says of an endpoint; the higher counter is the newer one."""
+    """State of an endpoint from one source; a higher counter is newer."""
 
     counter: int
     is_leaving: bool
 
 
-_NO_FACT = EndpointState(0, False)
+_NO_STATE = EndpointState(0, False)
 
 
 class _Peer:
-    """What this host knows of another host of its cell."""
+    """State of another host of the cell, as this host knows it."""
 
-    def __init__(self, incarnation, last_probe_s, news):
+    def __init__(self, incarnation, last_probe_s, updates):
         self.incarnation = incarnation
         self.is_leaving = False
         self.failures = 0
         self.last_probe_s = last_probe_s
-        self.probe_facts = None
-        self.news = news
+        self.probe_states = None
+        self.updates = updates
 
 
 class Membership:
-    """One host's view of its cell.
+    """One host's state machine for the membership of its cell.
 
     Parameters
     ----------
@@ -113,18 +116,18 @@
         self._policy = policy
         self._is_leaving = False
         self._peers = {}
-        self._facts = {}
-        self._observations = {}
+        self._endpoint_states = {}
+        self._source_reports = {}
 
     def set_hosts(self, now_s, incarnations):
-        """Take the hosts of the cell as the platform lists them.
+        """Set the hosts of the cell, as listed by the platform.
 
         Parameters
         ----------
         now_s : float
             Reading of this host's clock, in seconds.
         incarnations : dict of str to str
-            The incarnation of each host; this host's own entry is ignored.
+            Incarnation by host; this host's own entry is ignored.
         """
         for host in list(self._peers):
             if host not in incarnations:
@@ -135,22 +138,24 @@
                 continue
             if peer is not None and peer.incarnation == incarnation:
                 continue
-            # A restarted host keeps nothing, so it hears every fact anew.
-            first_probe_s = now_s - self._policy.probe_interval_s * self._phase(host)
-            news = dict.fromkeys(self._facts)
-            self._peers[host] = _Peer(incarnation, first_probe_s, news)
+            # A restarted host has lost its state, so it is sent every update again.
+            first_probe_s = (
+                now_s - self._policy.probe_interval_s * self._phase_fraction(host)
+            )
+            updates = dict.fromkeys(self._endpoint_states)
+            self._peers[host] = _Peer(incarnation, first_probe_s, updates)
 
     def set_leaving(self):
-        """Tell the cell from now on that this host is leaving."""
+        """Announce to the cell from now on that this host is leaving."""
         self._is_leaving = True
 
     def host_state(self, host):
-        """Return "live", "suspect" or "leaving".
+        """Return whether a host is "live", "suspect" or "leaving".
 
         Parameters
         ----------
         host : str
-            A host; one that isn't in the cell counts as suspect.
+            Name of a host. A host outside the cell counts as suspect.
 
         Returns
         -------
@@ -167,7 +172,7 @@
         return SUSPECT if peer.failures >= self._policy.suspect_after_failures else LIVE
 
     def is_endpoint_leaving(self, endpoint):
-        """Return whether an endpoint takes no new work.
+        """Return whether an endpoint is leaving and must get no new requests.
 
         Parameters
         ----------
@@ -177,15 +182,15 @@
         Returns
         -------
         bool
-            True when the list or the endpoint itself says that it is leaving.
+            True when the platform's list or the endpoint says that it is leaving.
         """
         return any(
-            self._facts.get((endpoint, source), _NO_FACT).is_leaving
+            self._endpoint_states.get((endpoint, source), _NO_STATE).is_leaving
             for source in _SOURCES
         )
 
     def on_source_report(self, now_s, endpoint, source, is_leaving):
-        """Take what a source says of an endpoint now.
+        """Handle the current state of an endpoint from one source.
 
         Parameters
         ----------
@@ -198,7 +203,7 @@
             `ENDPOINT_SOURCE` for the endpoint's own load report or its refusal as
             draining.
         is_leaving : bool
-            What the source says.
+            Whether the endpoint is leaving according to the source.
 
         Raises
         ------
@@ -208,40 +213,39 @@
         if source not in _SOURCES:
             raise ValueError(f"source: neither of {_SOURCES}: {source!r}")
         name = (endpoint, source)
-        fact = self._facts.get(name, _NO_FACT)
-        said_before, contradicts_since_s = self._observations.get(name, (False, None))
-        if is_leaving == fact.is_leaving:
-            self._observations[name] = (is_leaving, None)
+        state = self._endpoint_states.get(name, _NO_STATE)
+        was_leaving, contradicts_since_s = self._source_reports.get(name, (False, None))
+        if is_leaving == state.is_leaving:
+            self._source_reports[name] = (is_leaving, None)
             return
-        # Guards against a lagging source that brings a leaving endpoint back: the
-        # word of a peer stands against what this host has heard all along. Only a
-        # change in what the source says here, or a contradiction that outlasts the
-        # lag, is news.
+        # A lagging source must not put a leaving endpoint back into service, so a state
+        # received from a peer overrides a source that has not changed. Only a change of
+        # the source, or a contradiction that lasts longer than the lag, is an update.
         if contradicts_since_s is None:
             contradicts_since_s = now_s
-        is_change = is_leaving != said_before
+        is_change = is_leaving != was_leaving
         is_settled = now_s - contradicts_since_s >= self._policy.source_lag_s
         if not is_change and not is_settled:
-            self._observations[name] = (is_leaving, contradicts_since_s)
+            self._source_reports[name] = (is_leaving, contradicts_since_s)
             return
-        self._observations[name] = (is_leaving, None)
-        self._store(name, EndpointState(fact.counter + 1, is_leaving), None)
+        self._source_reports[name] = (is_leaving, None)
+        self._set_state(name, EndpointState(state.counter + 1, is_leaving), None)
 
     def remove_endpoints(self, endpoints):
-        """Drop the facts on endpoints that are gone for good.
+        """Remove the states of endpoints that no longer exist.
 
         Parameters
         ----------
         endpoints : set of str
-            Their names.
+            Names of the endpoints.
         """
-        for name in list(self._facts):
+        for name in list(self._endpoint_states):
             if name[0] not in endpoints:
                 continue
-            del self._facts[name]
-            self._observations.pop(name, None)
+            del self._endpoint_states[name]
+            self._source_reports.pop(name, None)
             for peer in self._peers.values():
-                peer.news.pop(name, None)
+                peer.updates.pop(name, None)
 
     def tick(self, now_s):
         """Return the probes that are due.
@@ -254,107 +258,110 @@
         Returns
         -------
         list of Probe
-            Answer each with `on_probe_answer` or `on_probe_failed`.
+            The caller reports each result to `on_probe_answer` or `on_probe_failed`.
         """
         policy = self._policy
         probes = []
         for host, peer in self._peers.items():
             age_s = now_s - peer.last_probe_s
-            if peer.probe_facts is not None:
+            if peer.probe_states is not None:
                 if age_s < policy.probe_timeout_s:
                     continue
                 self.on_probe_failed(now_s, host)
-            is_answering = peer.failures == 0
-            has_news = bool(peer.news) and is_answering
-            wait_s = policy.update_interval_s if has_news else policy.probe_interval_s
+            is_responding = peer.failures == 0
+            has_updates = bool(peer.updates) and is_responding
+            wait_s = (
+                policy.update_interval_s if has_updates else policy.probe_interval_s
+            )
             if age_s < wait_s:
                 continue
-            names = list(peer.news)[: policy.updates_per_message]
-            peer.probe_facts = {name: self._facts[name] for name in names}
+            names = list(peer.updates)[: policy.updates_per_message]
+            peer.probe_states = {name: self._endpoint_states[name] for name in names}
             peer.last_probe_s = now_s
-            probes.append(Probe(host, self._message(peer.probe_facts)))
+            probes.append(Probe(host, self._message(peer.probe_states)))
         return probes
 
     def on_probe_answer(self, now_s, host, message):
-        """Take a host's answer to a probe.
+        """Handle a host's response to a probe.
 
         Parameters
         ----------
         now_s : float
             Reading of this host's clock, in seconds.
         host : str
-            Who answered.
+            The host that responded.
         message : dict
-            The answer, as `on_probe` of that host returned it.
+            The response, as `on_probe` of that host returned it.
 
         Raises
         ------
         ValueError
-            If the message isn't of this protocol.
+            If the message is malformed.
         """
         check_message(message)
         peer = self._peers.get(host)
         if peer is None:
             return
-        for name, fact in (peer.probe_facts or {}).items():
-            # News that changed while the probe was out is still news.
-            if self._facts.get(name) == fact:
-                peer.news.pop(name, None)
-        peer.probe_facts = None
-        self._hear(host, message)
+        for name, state in (peer.probe_states or {}).items():
+            # A state that changed while the probe was in flight must be sent again.
+            if self._endpoint_states.get(name) == state:
+                peer.updates.pop(name, None)
+        peer.probe_states = None
+        self._on_message(host, message)
 
     def on_probe_failed(self, now_s, host):
-        """Count a probe that got no answer.
+        """Count a probe that got no response.
 
         Parameters
         ----------
         now_s : float
             Reading of this host's clock, in seconds.
         host : str
-            Who didn't answer.
+            The host that did not respond.
         """
         peer = self._peers.get(host)
-        if peer is None or peer.probe_facts is None:
+        if peer is None or peer.probe_states is None:
             return
-        peer.probe_facts = None
+        peer.probe_states = None
         peer.failures += 1
 
     def on_probe(self, now_s, host, message):
-        """Take a host's probe.
+        """Handle a host's probe and return the response.
 
         Parameters
         ----------
         now_s : float
             Reading of this host's clock, in seconds.
         host : str
-            Who probes.
+            The host that sent the probe.
         message : dict
             The probe's message.
 
         Returns
         -------
         dict
-            The answer. It carries no facts, as nothing would tell that they arrived;
-            they go with this host's own probes.
+            The response. It contains no state updates, because their delivery could
+            not be confirmed; they are sent with this host's own probes.
 
         Raises
         ------
         ValueError
-            If the message isn't of this protocol.
+            If the message is malformed.
         """
         check_message(message)
-        self._hear(host, message)
+        self._on_message(host, message)
         for endpoint, source, counter, is_leaving in message["facts"]:
             name = (endpoint, _SOURCES[source])
-            heard = EndpointState(counter, bool(is_leaving))
-            known = self._facts.get(name, _NO_FACT)
-            # On equal counters leaving wins: two hosts may count up at once, and work
-            # sent to a leaving endpoint costs more than work kept from a live one.
-            if heard > known:
-                self._store(name, heard, host)
+            received = EndpointState(counter, bool(is_leaving))
+            stored = self._endpoint_states.get(name, _NO_STATE)
+            # For equal counters `EndpointState` orders leaving higher. Two hosts may
+            # increment a counter concurrently, and requests sent to a leaving endpoint
+            # cost more than requests kept from a live one.
+            if received > stored:
+                self._set_state(name, received, host)
         return self._message({})
 
-    def _hear(self, host, message):
+    def _on_message(self, host, message):
         peer = self._peers.get(host)
         if peer is None:
             return
@@ -362,93 +369,95 @@
         if message["incarnation"] == peer.incarnation and message["leaving"]:
             peer.is_leaving = True
 
-    def _store(self, name, fact, told_by):
+    def _set_state(self, name, state, sender):
         if (
-            name not in self._facts
-            and len(self._facts) >= self._policy.max_endpoint_states
+            name not in self._endpoint_states
+            and len(self._endpoint_states) >= self._policy.max_endpoint_states
         ):
             return
-        self._facts[name] = fact
+        self._endpoint_states[name] = state
         for host, peer in self._peers.items():
-            if host != told_by:
-                peer.news[name] = None
+            if host != sender:
+                peer.updates[name] = None
 
-    def _message(self, facts):
+    def _message(self, states):
         return {
             "incarnation": self._incarnation,
             "leaving": self._is_leaving,
             "facts": [
-                [endpoint, _SOURCES.index(source), fact.counter, int(fact.is_leaving)]
-                for (endpoint, source), fact in facts.items()
+                [endpoint, _SOURCES.index(source), state.counter, int(state.is_leaving)]
+                for (endpoint, source), state in states.items()
             ],
         }
 
-    def _phase(self, host):
-        # Spreads the first probes over the interval, or all hosts of a rack that
-        # comes back would probe each other in step for ever.
+    def _phase_fraction(self, host):
+        # Spreads the first probes over the interval. Hosts that start at the same time
+        # would otherwise probe each other in step permanently.
         text = f"{self._host}>{host}".encode()
         return hashlib.blake2b(text, digest_size=1).digest()[0] / 256
 
 
 def check_message(message: Any):
-    """Refuse a message that isn't of this protocol.
+    """Raise an error for a malformed message.
 
     Parameters
     ----------
     message : object
-        What a peer sent.
+        Message of a peer.
 
     Raises
     ------
     ValueError
-        Naming the part that is wrong.
+        If the message is malformed; the text names the invalid field.
     """
     if not isinstance(message, dict):
-        raise ValueError(f"message: not a map: {type(message).__name__}")
+        raise ValueError(f"message: not a dict: {type(message).__name__}")
     incarnation = message.get("incarnation")
-    if not isinstance(incarnation, str) or len(incarnation) > _NAME_LIMIT:
+    if not isinstance(incarnation, str) or len(incarnation) > _NAME_MAX_CHARS:
         raise ValueError("message: incarnation is not a short string")
     if not isinstance(message.get("leaving"), bool):
-        raise ValueError("message: leaving is not true or false")
+        raise ValueError("message: leaving is not a boolean")
     if not isinstance(message.get("facts"), list):
         raise ValueError("message: facts is not a list")
-    for fact in message["facts"]:
-        _check_fact(fact)
+    for state in message["facts"]:
+        _check_state(state)
 
 
-def _check_fact(fact):
-    if not isinstance(fact, (list, tuple)) or len(fact) != 4:
-        raise ValueError("message: a fact is not a list of four")
-    endpoint, source, counter, is_leaving = fact
-    if not isinstance(endpoint, str) or len(endpoint) > _NAME_LIMIT:
-        raise ValueError("message: a fact's endpoint is not a short string")
+def _check_state(state):
+    if not isinstance(state, (list, tuple)) or len(state) != 4:
+        raise ValueError("message: an entry of facts is not a list of four")
+    endpoint, source, counter, is_leaving = state
+    if not isinstance(endpoint, str) or len(endpoint) > _NAME_MAX_CHARS:
+        raise ValueError("message: an endpoint in facts is not a short string")
     if not all(isinstance(number, int) for number in (source, counter, is_leaving)):
-        raise ValueError("message: a fact's source, counter or state is no integer")
+        raise ValueError(
+            "message: a source, counter or state in facts is not an integer"
+        )
     if source not in (0, 1) or is_leaving not in (0, 1):
-        raise ValueError("message: a fact's source or state is not 0 or 1")
-    if not 0 <= counter <= _COUNTER_LIMIT:
-        raise ValueError("message: a fact's counter is out of range")
+        raise ValueError("message: a source or state in facts is not 0 or 1")
+    if not 0 <= counter <= _COUNTER_MAX:
+        raise ValueError("message: a counter in facts is out of range")
 
 
 def max_message_bytes(message):
-    """Return an upper bound of a probe's or answer's size as msgpack.
+    """Return an upper bound of the size of a probe or response as msgpack.
 
     Parameters
     ----------
     message : dict
-        A message of `Probe` or `Membership.on_probe`.
+        Message of a `Probe`, or result of `Membership.on_probe`.
 
     Returns
     -------
     int
-        Bytes, without the frame around it.
+        Size in bytes, without the frame of the transport.
     """
-    size_bytes = _MAP_HEAD_BYTES
+    size_bytes = _MAP_HEADER_BYTES
     for name in message:
-        size_bytes += _STRING_HEAD_BYTES + len(name.encode())
-    size_bytes += _STRING_HEAD_BYTES + len(message["incarnation"].encode()) + 1
-    size_bytes += _LIST_HEAD_BYTES
+        size_bytes += _STRING_HEADER_BYTES + len(name.encode())
+    size_bytes += _STRING_HEADER_BYTES + len(message["incarnation"].encode()) + 1
+    size_bytes += _LIST_HEADER_BYTES
     for endpoint, *numbers in message["facts"]:
-        size_bytes += 1 + _STRING_HEAD_BYTES + len(endpoint.encode())
+        size_bytes += 1 + _STRING_HEADER_BYTES + len(endpoint.encode())
         size_bytes += _NUMBER_BYTES * len(numbers)
     return size_bytes
