--- a/libs/coordination/gypsumusher_coordination/config_check.py
+++ b/libs/coordination/gypsumusher_coordination/config_check.py
@@ -6,6 +6,7 @@
 from typing import Any, NamedTuple
 
 NAME_PATTERN = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]{0,62}")
+# Upper bound of all durations in a document: one day.
 MAX_DURATION_S = 86_400.0
 MAX_TEXT_CHARS = 253
 # Operators rely on a new configuration being in force everywhere within 12 s, so a
@@ -75,6 +76,7 @@
 
 
 def _problem(path: str, value: Any, expected: str) -> list[Problem]:
+    """Return the problem of a value that is not the expected one."""
     shown = repr(value)
     if len(shown) > 60:
         shown = shown[:60] + "..."
@@ -82,6 +84,7 @@
 
 
 def _number_check(low: float, high: float, exclude_low: bool = False) -> Check:
+    """Return a check for finite numbers in a range."""
     bound = "above" if exclude_low else "from"
     expected = f"a number {bound} {low:g} up to {high:g}"
 
@@ -96,6 +99,8 @@
 
 
 def _integer_check(low: int, high: int) -> Check:
+    """Return a check for integers in a range."""
+
     def check(value, path):
         if type(value) is not int or not low <= value <= high:
             return _problem(path, value, f"a whole number from {low} to {high}")
@@ -105,6 +110,8 @@
 
 
 def _choice_check(*choices: str) -> Check:
+    """Return a check for one of several strings."""
+
     def check(value, path):
         if not isinstance(value, str) or value not in choices:
             return _problem(path, value, "one of " + ", ".join(choices))
@@ -133,6 +140,8 @@
 
 
 def _list_check(item_check: Check) -> Check:
+    """Return a check for lists whose items pass `item_check`."""
+
     def check(value, path):
         if not isinstance(value, list):
             return _problem(path, value, "a list")
@@ -147,6 +156,11 @@
 def _mapping_check(
     item_check: Check, check_names: bool = True, min_entries: int = 0
 ) -> Check:
+    """Return a check for mappings whose values pass `item_check`.
+
+    With `check_names` the keys must match `NAME_PATTERN`.
+    """
+
     def check(value, path):
         if not isinstance(value, dict) or len(value) < min_entries:
             return _problem(path, value, f"a mapping of at least {min_entries} entries")
@@ -169,6 +183,8 @@
 
 
 def _object_check(fields: dict[str, Check], optional: set[str]) -> Check:
+    """Return a check for mappings with these fields and no others."""
+
     def check(value, path):
         if not isinstance(value, dict):
             return _problem(path, value, "a mapping")
--- a/libs/coordination/gypsumusher_coordination/config_staleness.py
+++ b/libs/coordination/gypsumusher_coordination/config_staleness.py
@@ -78,7 +78,7 @@
 
     Parameters
     ----------
-    now_s, last_heard_s : float
+    now_s, contact_s : float
         Reading of this host's clock, and the result of `last_contact_s`.
     stale_config : str
         The setting ``hosts.stale_config``, ``stop`` or ``serve``.
--- a/libs/coordination/gypsumusher_coordination/orders.py
+++ b/libs/coordination/gypsumusher_coordination/orders.py
@@ -123,12 +123,12 @@
         self._order_count = 0
 
     def on_lease_gained(
-        self, now_s: float, term: int, previous: Iterable[OpenTerm]
+        self, now_s: float, term: int, open_terms: Iterable[OpenTerm]
     ) -> list[OrderEffect]:
         """Start a term: discard cached states and read all intent records."""
         self.term = term
         self._gained_s = now_s
-        self._open_terms = tuple(previous)
+        self._open_terms = tuple(open_terms)
         for name in list(self._engines):
             self._engines[name] = _EngineState(name)
         effects = self._close_own_terms()
@@ -211,7 +211,7 @@
             if isinstance(event, OrderReply):
                 effects = self._on_reply(now_s, state, event)
             elif isinstance(event, OrderCallFailed):
-                effects = self._on_order_failed(now_s, state)
+                effects = self._on_call_failed(now_s, state)
             else:
                 effects = self._on_store_event(now_s, state, event)
             return effects + self._advance(now_s, state)
@@ -450,7 +450,7 @@
         state.not_before_s = float("-inf")
         return []
 
-    def _on_order_failed(self, now_s: float, state: _EngineState) -> list[OrderEffect]:
+    def _on_call_failed(self, now_s: float, state: _EngineState) -> list[OrderEffect]:
         state.not_before_s = now_s + RETRY_DELAY_S
         return []
 
--- a/libs/coordination/tests/test_at_most_once_machine.py
+++ b/libs/coordination/tests/test_at_most_once_machine.py
@@ -1,4 +1,4 @@
-"""At most once under every order of failures, as a hypothesis state machine."""
+"""State machine test: claims are granted at most once under combined failures."""
 
 import hypothesis.strategies as st
 from hypothesis import settings
@@ -28,7 +28,7 @@
 from gypsumusher_coordination.keys import parse_key
 from gypsumusher_coordination.sealing import JournalSealer
 
-# Limits so small that segments roll, waits end and keys are forgotten in few steps.
+# Small limits, so that new segments, claim timeouts and evictions occur in few steps.
 POLICY = JournalPolicy(
     writes_per_s=10.0,
     claim_timeout_s=1.0,
@@ -44,8 +44,8 @@
 PICK = st.integers(0, 2**16)
 
 
-class ModelPlatform:
-    """Objects with versions and conditional writes; a seal can't be undone."""
+class FakePlatform:
+    """Versioned objects with conditional writes; records the sealed segments."""
 
     def __init__(self):
         self.revision = 0
@@ -70,7 +70,7 @@
 
 
 class Process:
-    """One home, or one survivor that seals: a machine and what reaches it."""
+    """An owner or a sealing host: its state machine and its undelivered events."""
 
     def __init__(self, machine):
         self.machine = machine
@@ -80,65 +80,74 @@
 
 
 class AtMostOnceMachine(RuleBasedStateMachine):
-    """Homes and survivors against a platform that fails in every way at once."""
+    """Owners and sealing hosts against a platform with combined failures.
+
+    The names of the rules determine the order of the derandomized examples.
+    """
 
     keys = Bundle("keys")
 
     def __init__(self):
         super().__init__()
         self.now_s = 0.0
-        self.platform = ModelPlatform()
-        self.homes = []
+        self.platform = FakePlatform()
+        self.owners = []
         self.sealers = []
         self.calls = []
-        self.answers = []
-        self.limbo = []
+        self.delayed_answers = []
+        self.timed_out_calls = []
         self.has_outage = False
         self.minted = []
         self.claimed = {}
         self.granted = {}
         self.running = set()
-        self.told_not_run = set()
-        self.open_claims = set()
+        self.reported_not_run = set()
+        self.undecided_claims = set()
 
     @initialize()
     def start_homes(self):
-        self.start_home()
-        self.start_home()
+        self.start_owner()
+        self.start_owner()
 
-    def start_home(self):
-        number = len(self.homes)
-        self.homes.append(
+    def start_owner(self):
+        number = len(self.owners)
+        self.owners.append(
             Process(ClaimJournal(f"inc{number}", f"writer{number}", POLICY))
         )
 
-    def live_homes(self):
-        return [home for home in self.homes if not (home.is_dead or home.is_paused)]
+    def live_owners(self):
+        return [
+            owner for owner in self.owners if not (owner.is_dead or owner.is_paused)
+        ]
 
-    def home_of(self, key):
-        return self.homes[int(parse_key(key).incarnation.removeprefix("inc"))]
+    def owner_of(self, key):
+        return self.owners[int(parse_key(key).incarnation.removeprefix("inc"))]
 
     def run(self, process, effects):
         for effect in effects:
             if isinstance(effect, ClaimGranted):
-                self.note_granted(effect.key)
+                self.on_granted(effect.key)
             elif isinstance(effect, ClaimRefused):
-                self.open_claims.discard(effect.key)
+                self.undecided_claims.discard(effect.key)
                 if effect.run == "no" and effect.code != "key_reused":
-                    self.note_not_run(effect.key)
+                    self.on_reported_not_run(effect.key)
             elif not isinstance(effect, (OwnJournalSealed, PeerJournalSealed)):
                 self.calls.append((process, effect))
 
-    def note_granted(self, key):
-        self.open_claims.discard(key)
+    def on_granted(self, key):
+        self.undecided_claims.discard(key)
         assert key not in self.granted, f"{key} granted twice"
-        assert key not in self.told_not_run, f"{key} granted after 'not run'"
+        assert key not in self.reported_not_run, (
+            f"{key} granted after it was reported as not run"
+        )
         self.granted[key] = self.claimed[key]
         self.running.add(key)
 
-    def note_not_run(self, key):
-        assert key not in self.granted, f"'not run' of {key}, which was granted"
-        self.told_not_run.add(key)
+    def on_reported_not_run(self, key):
+        assert key not in self.granted, (
+            f"{key} reported as not run after it was granted"
+        )
+        self.reported_not_run.add(key)
 
     def deliver(self, process, event):
         if process.is_dead:
@@ -148,38 +157,43 @@
             return
         self.run(process, process.machine.handle(self.now_s, event))
 
-    def mint(self, home, unjournaled):
-        key = home.machine.mint("0" * 8, unjournaled)
+    def mint(self, owner, unjournaled):
+        key = owner.machine.mint("0" * 8, unjournaled)
         self.minted.append(key)
         return key
 
-    @rule(target=keys, home=PICK, unjournaled=st.booleans())
-    def mint_for_later(self, home, unjournaled):
-        homes = self.live_homes()
-        if not homes:
+    @rule(target=keys, owner_index=PICK, unjournaled=st.booleans())
+    def mint_for_later(self, owner_index, unjournaled):
+        owners = self.live_owners()
+        if not owners:
             return multiple()
-        return self.mint(homes[home % len(homes)], unjournaled)
-
-    @rule(target=keys, home=PICK, unjournaled=st.booleans(), count=st.integers(1, 3))
-    def request(self, home, unjournaled, count):
-        homes = self.live_homes()
-        if not homes:
+        return self.mint(owners[owner_index % len(owners)], unjournaled)
+
+    @rule(
+        target=keys,
+        owner_index=PICK,
+        unjournaled=st.booleans(),
+        count=st.integers(1, 3),
+    )
+    def request(self, owner_index, unjournaled, count):
+        owners = self.live_owners()
+        if not owners:
             return multiple()
-        chosen = homes[home % len(homes)]
-        keys = [self.mint(chosen, unjournaled) for _ in range(count)]
+        owner = owners[owner_index % len(owners)]
+        keys = [self.mint(owner, unjournaled) for _ in range(count)]
         for key in keys:
             self.claim_key(key, "a")
         return multiple(*keys)
 
-    @rule(target=keys, home=PICK)
-    def serve_for_a_while(self, home):
-        """Segments roll and expire, keys are forgotten."""
-        homes = self.live_homes()
-        if not homes:
+    @rule(target=keys, owner_index=PICK)
+    def serve_for_a_while(self, owner_index):
+        """Claims keys until new segments are opened and old ones and keys expire."""
+        owners = self.live_owners()
+        if not owners:
             return multiple()
         keys = []
         for _ in range(5):
-            keys.append(self.mint(homes[home % len(homes)], False))
+            keys.append(self.mint(owners[owner_index % len(owners)], False))
             self.claim_key(keys[-1], "a")
             self.answer_all()
             self.finish_all()
@@ -191,25 +205,25 @@
         self.claim_key(key, fingerprint)
 
     def claim_key(self, key, fingerprint):
-        home = self.home_of(key)
-        if home.is_dead or home.is_paused:
+        owner = self.owner_of(key)
+        if owner.is_dead or owner.is_paused:
             return
         first = self.claimed.setdefault(key, fingerprint)
-        effects = home.machine.claim(self.now_s, key, fingerprint)
-        answers = [e for e in effects if isinstance(e, (ClaimGranted, ClaimRefused))]
-        if not answers:
-            self.open_claims.add(key)
-        was_open = key in self.open_claims
-        self.run(home, effects)
+        effects = owner.machine.claim(self.now_s, key, fingerprint)
+        results = [e for e in effects if isinstance(e, (ClaimGranted, ClaimRefused))]
+        if not results:
+            self.undecided_claims.add(key)
+        was_undecided = key in self.undecided_claims
+        self.run(owner, effects)
         if key in self.granted and fingerprint != first:
-            assert [(a.code, a.run) for a in answers] in (
+            assert [(a.code, a.run) for a in results] in (
                 [("key_reused", "no")],
                 [("key_unknown_outcome", "unknown")],
-            ), "another body under a key that was granted"
-        if answers and isinstance(answers[0], ClaimRefused) and was_open:
-            # A repeat was refused; the first claim still waits for its answer.
-            if answers[0].code in ("in_progress", "key_reused"):
-                self.open_claims.add(key)
+            ), "granted key claimed with another fingerprint"
+        if results and isinstance(results[0], ClaimRefused) and was_undecided:
+            # A repeat was refused; the first claim is still undecided.
+            if results[0].code in ("in_progress", "key_reused"):
+                self.undecided_claims.add(key)
 
     @rule()
     def all_callers_retry(self):
@@ -221,10 +235,10 @@
         self.finish_key(key)
 
     def finish_key(self, key):
-        home = self.home_of(key)
-        if key in self.running and not (home.is_dead or home.is_paused):
+        owner = self.owner_of(key)
+        if key in self.running and not (owner.is_dead or owner.is_paused):
             self.running.discard(key)
-            self.run(home, home.machine.finish(self.now_s, key))
+            self.run(owner, owner.machine.finish(self.now_s, key))
 
     @rule()
     def finish_all(self):
@@ -233,45 +247,45 @@
 
     @rule(key=keys)
     def ask(self, key):
-        self.ask_home(key)
+        self.resolve_key(key)
 
     @rule()
     def all_callers_ask(self):
         for key in self.minted:
-            self.ask_home(key)
+            self.resolve_key(key)
 
-    def ask_home(self, key):
-        home = self.home_of(key)
-        if home.is_dead or home.is_paused:
+    def resolve_key(self, key):
+        owner = self.owner_of(key)
+        if owner.is_dead or owner.is_paused:
             return
-        if home.machine.resolve(self.now_s, key) == "not_run":
-            self.note_not_run(key)
-
-    @rule(home=PICK)
-    def plan_stop(self, home):
-        homes = self.live_homes()
-        if homes:
-            chosen = homes[home % len(homes)]
-            self.run(chosen, chosen.machine.seal(self.now_s))
-
-    @rule(home=PICK, by=st.sampled_from(("host1", "host2")))
-    def survivor_starts_to_seal(self, home, by):
+        if owner.machine.resolve(self.now_s, key) == "not_run":
+            self.on_reported_not_run(key)
+
+    @rule(owner_index=PICK)
+    def plan_stop(self, owner_index):
+        owners = self.live_owners()
+        if owners:
+            owner = owners[owner_index % len(owners)]
+            self.run(owner, owner.machine.seal(self.now_s))
+
+    @rule(owner_index=PICK, by=st.sampled_from(("host1", "host2")))
+    def survivor_starts_to_seal(self, owner_index, by):
         if len(self.sealers) < 6:
-            self.start_sealer(self.homes[home % len(self.homes)], by)
+            self.start_sealer(self.owners[owner_index % len(self.owners)], by)
 
-    def start_sealer(self, home, by):
-        sealer = Process(JournalSealer(home.machine.incarnation, by))
+    def start_sealer(self, owner, by):
+        sealer = Process(JournalSealer(owner.machine.incarnation, by))
         self.sealers.append(sealer)
         self.run(sealer, sealer.machine.start(self.now_s))
         return sealer
 
-    @rule(home=PICK)
-    def survivor_seals_whole(self, home):
+    @rule(owner_index=PICK)
+    def survivor_seals_whole(self, owner_index):
         if not self.has_outage and len(self.sealers) < 6:
-            self.seal_whole(self.homes[home % len(self.homes)])
+            self.seal_whole(self.owners[owner_index % len(self.owners)])
 
-    def seal_whole(self, home):
-        sealer = self.start_sealer(home, "host3")
+    def seal_whole(self, owner):
+        sealer = self.start_sealer(owner, "host3")
         while not sealer.machine.is_done:
             [call] = [call for call in self.calls if call[0] is sealer]
             self.calls.remove(call)
@@ -289,7 +303,7 @@
             if sealer.machine.incarnation != incarnation or sealer.is_paused:
                 continue
             if sealer.machine.outcome(key) == "not_run":
-                self.note_not_run(key)
+                self.on_reported_not_run(key)
 
     @rule(call=PICK)
     def answer_call(self, call):
@@ -308,12 +322,12 @@
     def delay_answer(self, call):
         if self.calls and not self.has_outage:
             process, effect = self.calls.pop(call % len(self.calls))
-            self.answers.append((process, self.platform.apply(effect)))
+            self.delayed_answers.append((process, self.platform.apply(effect)))
 
     @rule(answer=PICK)
     def deliver_answer(self, answer):
-        if self.answers:
-            self.deliver(*self.answers.pop(answer % len(self.answers)))
+        if self.delayed_answers:
+            self.deliver(*self.delayed_answers.pop(answer % len(self.delayed_answers)))
 
     @rule(call=PICK)
     def lose_answer(self, call):
@@ -340,24 +354,24 @@
 
     def delay_past_timeout(self, call):
         process, effect = self.calls.pop(call % len(self.calls))
-        self.limbo.append((process, effect))
+        self.timed_out_calls.append((process, effect))
         self.deliver(process, CallFailed(effect.tag, sent=True))
 
     @rule(call=PICK)
     def land_late(self, call):
-        if self.limbo and not self.has_outage:
-            process, effect = self.limbo.pop(call % len(self.limbo))
+        if self.timed_out_calls and not self.has_outage:
+            process, effect = self.timed_out_calls.pop(call % len(self.timed_out_calls))
             self.deliver(process, self.platform.apply(effect))
 
     @rule(process=PICK)
     def pause(self, process):
-        everyone = self.homes + self.sealers
-        everyone[process % len(everyone)].is_paused = True
+        processes = self.owners + self.sealers
+        processes[process % len(processes)].is_paused = True
 
     @rule(process=PICK)
     def resume(self, process):
-        everyone = self.homes + self.sealers
-        self.resume_process(everyone[process % len(everyone)])
+        processes = self.owners + self.sealers
+        self.resume_process(processes[process % len(processes)])
 
     def resume_process(self, process):
         process.is_paused = False
@@ -365,14 +379,16 @@
         for event in inbox:
             self.deliver(process, event)
 
-    @rule(home=PICK)
-    def kill(self, home):
-        victim = self.homes[home % len(self.homes)]
-        if victim.is_dead or len(self.homes) > 4:
+    @rule(owner_index=PICK)
+    def kill(self, owner_index):
+        owner = self.owners[owner_index % len(self.owners)]
+        if owner.is_dead or len(self.owners) > 4:
             return
-        victim.is_dead = True
-        self.open_claims = {k for k in self.open_claims if self.home_of(k) != victim}
-        self.start_home()
+        owner.is_dead = True
+        self.undecided_claims = {
+            k for k in self.undecided_claims if self.owner_of(k) != owner
+        }
+        self.start_owner()
 
     @rule(has_outage=st.booleans())
     def change_outage(self, has_outage):
@@ -386,7 +402,7 @@
 
     def advance(self, wait_s):
         self.now_s += wait_s
-        for process in self.homes + self.sealers:
+        for process in self.owners + self.sealers:
             if not (process.is_dead or process.is_paused):
                 self.run(process, process.machine.tick(self.now_s))
 
@@ -397,27 +413,27 @@
 
     @invariant()
     def memory_is_bounded(self):
-        for home in self.homes:
+        for owner in self.owners:
             in_flight = len(self.running) + POLICY.max_waiting_claims
-            assert home.machine.key_count <= POLICY.max_keys + in_flight
+            assert owner.machine.key_count <= POLICY.max_keys + in_flight
 
     def teardown(self):
-        """Heal everything: then each claim is answered and each seal completes."""
+        """After all failures end, each claim is decided and each seal completes."""
         self.has_outage = False
-        for process in self.homes + self.sealers:
+        for process in self.owners + self.sealers:
             self.resume_process(process)
         for _ in range(60):
             self.finish_all()
-            while self.calls or self.answers:
+            while self.calls or self.delayed_answers:
                 self.answer_call(0)
                 self.deliver_answer(0)
             self.advance(0.3)
-            if self.limbo:
+            if self.timed_out_calls:
                 self.land_late(0)
-        assert not self.open_claims, "claims without an answer"
+        assert not self.undecided_claims, "undecided claims"
         assert all(sealer.machine.is_done for sealer in self.sealers)
-        for home in self.homes:
-            self.seal_whole(home)
+        for owner in self.owners:
+            self.seal_whole(owner)
 
 
 TestAtMostOnce = AtMostOnceMachine.TestCase
--- a/libs/coordination/tests/test_claims_machine.py
+++ b/libs/coordination/tests/test_claims_machine.py
@@ -1,4 +1,4 @@
-"""One caller's key through several hosts at once, as a hypothesis state machine."""
+"""State machine test: several hosts claim one caller's key concurrently."""
 
 import hypothesis.strategies as st
 from hypothesis import settings
@@ -17,19 +17,19 @@
     WriteDone,
 )
 
-HOMES = ("home-1", "home-2", WITHDRAWN)
+OWNERS = ("home-1", "home-2", WITHDRAWN)
 PICK = st.integers(0, 2**16)
 
 
 class ClaimsMachine(RuleBasedStateMachine):
-    """Attempts for one key; answers are lost, late, reordered or never given."""
+    """Attempts for one key; responses are lost, late, reordered or never given."""
 
     def __init__(self):
         super().__init__()
         self.now_s = 0.0
         self.stored = None
         self.attempts = []
-        self.bodies = []
+        self.claimants = []
         self.outcomes = {}
         self.calls = []
         self.late = []
@@ -37,12 +37,12 @@
     def run(self, number, effects):
         for effect in effects:
             if isinstance(effect, (ClaimGranted, ClaimOwnedElsewhere, ClaimRefused)):
-                assert number not in self.outcomes, "two answers to one attempt"
+                assert number not in self.outcomes, "two results of one attempt"
                 self.outcomes[number] = effect
                 continue
             self.calls.append((number, effect))
         granted = [o for o in self.outcomes.values() if isinstance(o, ClaimGranted)]
-        assert len(granted) <= 1, "two hosts may run one key"
+        assert len(granted) <= 1, "key granted to two attempts"
 
     def apply(self, effect):
         if isinstance(effect, ReadObject):
@@ -55,12 +55,12 @@
     def answer(self, number, event):
         self.run(number, self.attempts[number].handle(self.now_s, event))
 
-    @rule(home=st.sampled_from(HOMES), fingerprint=st.sampled_from("ab"))
-    def claim(self, home, fingerprint):
+    @rule(owner=st.sampled_from(OWNERS), fingerprint=st.sampled_from("ab"))
+    def claim(self, owner, fingerprint):
         number = len(self.attempts)
-        attempt = CallerKeyClaim("key", home, fingerprint, f"nonce-{number}")
+        attempt = CallerKeyClaim("key", owner, fingerprint, f"nonce-{number}")
         self.attempts.append(attempt)
-        self.bodies.append((home, fingerprint))
+        self.claimants.append((owner, fingerprint))
         self.run(number, attempt.start(self.now_s))
 
     @rule(call=PICK)
@@ -98,7 +98,7 @@
             self.run(number, attempt.tick(self.now_s))
 
     def teardown(self):
-        """Each attempt is answered, and each word is true of what stands."""
+        """Each attempt gets a result that agrees with the stored claim."""
         for _ in range(4):
             while self.calls or self.late:
                 self.answer_call(0)
@@ -109,13 +109,13 @@
             if isinstance(outcome, ClaimGranted):
                 assert self.stored.value["nonce"] == f"nonce-{number}"
             if isinstance(outcome, ClaimRefused) and outcome.run == "no":
-                # True only of a body that the key's holder can't have run.
-                assert self.bodies[number][1] != self.stored.value["fingerprint"]
+                # Correct only for content that the key's owner can't have run.
+                assert self.claimants[number][1] != self.stored.value["fingerprint"]
             if isinstance(outcome, ClaimOwnedElsewhere):
                 value = self.stored.value
                 assert outcome.owner == value["home"]
-                home, fingerprint = self.bodies[number]
-                is_withdrawn = WITHDRAWN in (home, value["home"])
+                owner, fingerprint = self.claimants[number]
+                is_withdrawn = WITHDRAWN in (owner, value["home"])
                 assert is_withdrawn or fingerprint == value["fingerprint"]
 
 
--- a/libs/coordination/tests/test_config.py
+++ b/libs/coordination/tests/test_config.py
@@ -1,4 +1,4 @@
-"""Configuration: only upwards, checked by hash, patched once and against a number."""
+"""Configuration: replicas, sections, patches, and staleness of partitioned hosts."""
 
 import itertools
 
@@ -61,7 +61,7 @@
 
 
 def run(store, attempt, now_s=0.0, calls=None):
-    """Answer an attempt's calls until it finishes; returns its outcome."""
+    """Perform an attempt's calls until it finishes; return its outcome."""
     calls = attempt.start(now_s) if calls is None else calls
     while calls:
         call = calls.pop(0)
@@ -72,7 +72,7 @@
 
 
 def same(effects, expected):
-    """Compare with types: named tuples of different types may compare equal."""
+    """Compare also types, since named tuples of different types may be equal."""
     types = [type(effect) for effect in effects]
     return effects == expected and types == [type(effect) for effect in expected]
 
@@ -114,7 +114,7 @@
         ({}, {"a": {"bb": {"ccc": None}}}, {"a": {"bb": {}}}),
     ],
 )
-def test_merge_patch_follows_the_cases_of_its_rfc(document, patch, merged):
+def test_merge_patch_follows_the_test_cases_of_rfc_7396(document, patch, merged):
     assert merge_patch(document, patch) == merged
 
 
@@ -159,42 +159,42 @@
     assert replica.number == 2
 
 
-def test_older_head_never_replaces_one_that_waits_for_its_sections():
-    """A drained host gets work again, seconds after its drain was accepted.
+def test_older_head_never_replaces_a_pending_one():
+    """A slow peer sends head 1 while the sections of head 2 are still being fetched.
 
-    A slow peer passes on head 1 while the sections of head 2 are still on their
-    way. If the replica went back to head 1, the drain of head 2 would be undone.
+    If the replica went back to head 1, a patch of head 2 would be undone: a drained
+    host, for example, would get requests again.
     """
     store = Store()
     run(store, attempt_of(0, service(1.0), "p1"))
     first = store.head()
     run(store, attempt_of(1, service(2.0), "p2"))
     replica = ConfigReplica("host-1")
-    (need,) = replica.on_head(0.0, store.head())
+    (fetch,) = replica.on_head(0.0, store.head())
     assert replica.on_head(0.1, first) == []
-    value = store.objects["configsections", need.hash].value
-    (adopted,) = replica.on_section(0.2, need.hash, value)
+    value = store.objects["configsections", fetch.hash].value
+    (adopted,) = replica.on_section(0.2, fetch.hash, value)
     assert adopted.number == 2
 
 
-def test_section_under_a_foreign_hash_is_dropped_and_asked_for_again():
-    """Callers are cut after 9 s although every operator reads a timeout of 30 s.
+def test_section_with_another_hash_is_dropped_and_fetched_again():
+    """A response for another section, or a damaged copy, arrives under a needed hash.
 
-    An answer for another section, or a damaged copy from a peer, arrives under the
-    hash that the replica waits for, and is put in force unseen.
+    Without the hash check it would come into force unnoticed: a timeout of 9 s, for
+    example, where the configuration says 30 s.
     """
     store = Store()
     run(store, attempt_of(0, service(30.0), "p1"))
     replica = ConfigReplica("host-1")
-    (need,) = replica.on_head(0.0, store.head())
-    assert replica.on_section(0.1, need.hash, {"timeout_s": 9.0}) == []
-    assert replica.on_section(0.1, need.hash, {"timeout_s": float("nan")}) == []
+    (fetch,) = replica.on_head(0.0, store.head())
+    assert replica.on_section(0.1, fetch.hash, {"timeout_s": 9.0}) == []
+    assert replica.on_section(0.1, fetch.hash, {"timeout_s": float("nan")}) == []
     assert replica.number == 0
     assert replica.tick(0.2) == []
-    assert replica.tick(1.0) == [FetchSection(need.hash)]
+    assert replica.tick(1.0) == [FetchSection(fetch.hash)]
     assert feed(replica, store, store.head()) == []
-    value = store.objects["configsections", need.hash].value
-    assert replica.on_section(1.1, need.hash, value)[0].number == 1
+    value = store.objects["configsections", fetch.hash].value
+    assert replica.on_section(1.1, fetch.hash, value)[0].number == 1
 
 
 @pytest.mark.parametrize(
@@ -215,11 +215,11 @@
     assert ConfigReplica("host-1").on_head(0.0, head) == []
 
 
-def test_racing_patches_one_wins_and_the_other_learns_what_changed():
-    """Two operators patch the same number; the first one's drain silently vanishes.
+def test_concurrent_patches_one_wins_and_the_other_gets_the_changes():
+    """Two operators patch the same number, and both read it before either writes.
 
-    Both read number 1 before either writes. Without the condition on the version
-    that was read, the second write puts the first one's sections back.
+    Without the condition on the version that was read, the second write would undo the
+    first one's drain without an error.
     """
     store = Store()
     run(store, attempt_of(0, service(1.0), "p1"))
@@ -241,11 +241,12 @@
     assert store.head()["number"] == 2
 
 
-def test_lost_answer_is_settled_by_the_patch_id_under_later_patches():
-    """An operator sees a failure, retries, and the drain that was undone is back.
+def test_lost_response_is_resolved_by_the_patch_id_under_later_patches():
+    """The head write takes effect, its response is lost, and another patch follows.
 
-    The head write takes effect and its answer is lost; another patch lands on top
-    before the read. The patch is found in the head's history, under its own number.
+    The read finds the first patch in the head's history under its own number.
+    Otherwise the operator would get an error, and the retry would apply the patch
+    again.
     """
     store = Store()
     attempt = attempt_of(0, service(1.0), "p1")
@@ -272,7 +273,7 @@
     assert store.head()["number"] == 1
 
 
-def test_patch_in_an_outage_says_whether_it_may_take_effect():
+def test_patch_in_an_outage_reports_whether_it_may_take_effect():
     attempt = attempt_of(0, service(1.0), "p1")
     (read,) = attempt.start(0.0)
     attempt.handle(0.1, CallFailed(read.tag, sent=True))
@@ -319,17 +320,17 @@
     assert same([outcome], [PatchOutdated(70, ["services/counter-api"])])
 
 
-def test_host_cut_off_from_platform_and_majority_stops_serving():
-    """A drained engine still gets work from one host, minutes after the drain.
+def test_host_without_platform_and_majority_stops_serving():
+    """A host is partitioned from the platform and from most of its peers.
 
-    The host lost the platform and most of its peers; it kept serving by the
-    configuration it had, and nothing told it that a newer one was in force.
+    It can't learn of a newer configuration. If it kept serving by its old one, a
+    drained engine, for example, would still get requests minutes after the drain.
     """
     hosts = ["a", "b", "c", "d", "e"]
 
     def serves(now_s, platform_s, peers_s, setting="stop"):
-        heard = last_contact_s(now_s, platform_s, peers_s, "a", hosts)
-        return may_serve(now_s, heard, setting, limit_s=8.0)
+        last_s = last_contact_s(now_s, platform_s, peers_s, "a", hosts)
+        return may_serve(now_s, last_s, setting, limit_s=8.0)
 
     assert serves(100.0, 93.0, {})
     assert not serves(100.0, 91.0, {})
--- a/libs/coordination/tests/test_config_check.py
+++ b/libs/coordination/tests/test_config_check.py
@@ -1,4 +1,4 @@
-"""Each fault of a document is named by path, with what was seen and the mend."""
+"""Each problem of a document is reported with its path, the value and the fix."""
 
 import copy
 
@@ -54,20 +54,20 @@
 def changed(path, value):
     document = copy.deepcopy(DOCUMENT)
     *parents, last = path.split("/")
-    place = document
+    parent = document
     for key in parents:
-        place = place[key]
-    place[last] = value
+        parent = parent[key]
+    parent[last] = value
     return document
 
 
-def test_whole_document_and_the_empty_one_pass():
+def test_full_and_empty_documents_are_valid():
     assert check_document(DOCUMENT) == []
     assert check_document({}) == []
     assert fill_defaults(DOCUMENT) == DOCUMENT
 
 
-def test_left_out_keys_get_defaults_that_pass_the_check():
+def test_omitted_keys_get_valid_defaults():
     classes = DOCUMENT["deployments"]["letter-models"]["classes"]
     short = {"model": "m", "version": "1", "default_class": "counter"}
     document = {"deployments": {"d": short | {"classes": classes}}}
@@ -121,7 +121,7 @@
         ("hosts/stale_limit_s", 12.0),
     ],
 )
-def test_each_fault_is_named_with_its_mend(path, value):
+def test_each_problem_is_reported_with_its_fix(path, value):
     problems = check_document(changed(path, value))
     assert problems
     dotted = path.replace("/", ".")
@@ -132,11 +132,11 @@
 
 
 @pytest.mark.parametrize("document", [None, [], "text", 7, {1: 2}])
-def test_values_that_are_no_documents(document):
+def test_values_that_are_not_documents_are_invalid(document):
     assert check_document(document)
 
 
-def test_missing_keys_are_named():
+def test_missing_keys_are_reported():
     document = copy.deepcopy(DOCUMENT)
     del document["deployments"]["letter-models"]["model"]
     (problem,) = check_document(document)
--- a/libs/coordination/tests/test_config_machine.py
+++ b/libs/coordination/tests/test_config_machine.py
@@ -1,4 +1,4 @@
-"""Racing operators, lost answers and cut-off hosts against the configuration."""
+"""State machine test: concurrent patches, lost responses and partitioned hosts."""
 
 import itertools
 
@@ -39,7 +39,7 @@
 
 
 class Platform:
-    """Versioned objects with conditional writes, and every head that ever stood."""
+    """Versioned objects with conditional writes; records all heads."""
 
     def __init__(self):
         self.objects = {}
@@ -60,7 +60,7 @@
 
 
 class Attempt:
-    """One try of an operator's patch, with its calls on their way."""
+    """One attempt of an operator's patch with its calls in flight."""
 
     def __init__(self, machine, patch):
         self.machine = machine
@@ -70,12 +70,14 @@
 
 
 class ConfigMachine(RuleBasedStateMachine):
-    """Invariants: numbers only rise, an accepted patch stands once, all catch up.
+    """Invariants: numbers only rise, accepted patches apply once, all hosts catch up.
 
-    Story of the faults: operators race with patches and repeat them under the same
-    id after an error; writes of the head take effect and their answers are lost, or
-    land late; hosts hear heads from the platform and from each other in any order,
-    are cut off, get damaged sections, and start anew with nothing.
+    Faults: operators patch concurrently and retry with the same id after an error;
+    head writes take effect and their responses are lost, or they take effect late;
+    hosts receive heads from the platform and from each other in any order, are
+    partitioned, get damaged sections, and restart without state.
+
+    The names of the rules determine the order of the derandomized examples.
     """
 
     @initialize()
@@ -86,30 +88,30 @@
         self.numbers = dict.fromkeys(HOSTS, 0)
         self.ids = itertools.count(1)
         self.attempts = []
-        # Writes whose caller was told of a failure; they may still land.
-        self.late = []
+        # Writes that were reported as failed; they may still take effect.
+        self.delayed_writes = []
         self.accepted = {}
 
-    # What the program around the machines does
+    # The host program that runs the state machines
 
-    def take(self, attempt, effects):
+    def perform(self, attempt, effects):
         for effect in effects:
             if isinstance(effect, ReadObject | WriteObject):
                 attempt.calls.append(effect)
                 continue
             attempt.outcome = effect
             if isinstance(effect, PatchAccepted):
-                self.note_accepted(attempt, effect)
+                self.on_accepted(attempt, effect)
             if isinstance(effect, PatchOutdated | PatchInvalid):
-                stands = self.standing_ids()
-                assert attempt.machine.patch_id not in stands, "refused, yet it stands"
+                applied = self.applied_ids()
+                assert attempt.machine.patch_id not in applied, "refused, but applied"
 
-    def standing_ids(self):
+    def applied_ids(self):
         if not self.platform.heads:
             return set()
         return {patch["patch_id"] for patch in self.platform.heads[-1]["patches"]}
 
-    def note_accepted(self, attempt, accepted):
+    def on_accepted(self, attempt, accepted):
         patch_id = attempt.machine.patch_id
         known = self.accepted.setdefault(patch_id, accepted)
         assert known == accepted, f"{patch_id} accepted as {known} and {accepted}"
@@ -118,15 +120,15 @@
         machine = PatchAttempt(base_number, patch, patch_id, "kim", "", check_document)
         attempt = Attempt(machine, patch)
         self.attempts.append(attempt)
-        self.take(attempt, machine.start(self.now_s))
+        self.perform(attempt, machine.start(self.now_s))
 
     def answer(self, attempt):
         call = attempt.calls.pop(0)
         event = self.platform.apply(call)
-        self.take(attempt, attempt.machine.handle(self.now_s, event))
+        self.perform(attempt, attempt.machine.handle(self.now_s, event))
 
     def feed(self, host, effects, source):
-        """Fetch sections from the platform or from a peer, as far as it has them."""
+        """Perform effects, with the sections that `source` has."""
         replica = self.replicas[host]
         effects = list(effects)
         while effects:
@@ -145,19 +147,19 @@
         return None if stored is None else stored.value
 
     def lose(self, attempt, lands):
-        """Fail the next call, which lands before the failure, after it or never."""
+        """Fail the next call, which takes effect before the failure, later or never."""
         call = attempt.calls.pop(0)
         if lands == "before":
             self.platform.apply(call)
         elif lands == "later":
-            self.late.append(call)
+            self.delayed_writes.append(call)
         failed = CallFailed(call.tag, isinstance(call, WriteObject))
-        self.take(attempt, attempt.machine.handle(self.now_s, failed))
+        self.perform(attempt, attempt.machine.handle(self.now_s, failed))
 
-    def let_pass(self, wait_s):
+    def advance(self, wait_s):
         self.now_s += wait_s
         for attempt in self.attempts:
-            self.take(attempt, attempt.machine.tick(self.now_s))
+            self.perform(attempt, attempt.machine.tick(self.now_s))
 
     def open_attempts(self):
         return [attempt for attempt in self.attempts if attempt.calls]
@@ -201,12 +203,12 @@
         ):
             self.answer(attempt)
         self.lose(attempt, lands)
-        self.let_pass(wait_s)
+        self.advance(wait_s)
 
     @precondition(lambda self: self.attempts)
     @rule(pick=PICK)
     def repeat(self, pick):
-        """The operator sends the same patch again, under the same id."""
+        """The operator retries a patch with the same id."""
         machine = self.attempts[pick % len(self.attempts)].machine
         self.start(machine.base_number, machine.patch, machine.patch_id)
 
@@ -225,14 +227,14 @@
         attempts = self.open_attempts()
         self.lose(attempts[pick % len(attempts)], lands)
 
-    @precondition(lambda self: self.late)
+    @precondition(lambda self: self.delayed_writes)
     @rule(pick=PICK)
     def land_late(self, pick):
-        self.platform.apply(self.late.pop(pick % len(self.late)))
+        self.platform.apply(self.delayed_writes.pop(pick % len(self.delayed_writes)))
 
     @rule(tenths=st.integers(1, 20))
     def pass_time(self, tenths):
-        self.let_pass(tenths / 10)
+        self.advance(tenths / 10)
 
     @precondition(lambda self: self.platform.heads)
     @rule(host=HOST, pick=PICK, old=st.booleans(), sections=st.booleans())
@@ -258,11 +260,11 @@
 
     @rule(host=HOST)
     def replace_host(self, host):
-        """A new process under the same name starts with nothing."""
+        """A new process with the same host name starts without state."""
         self.replicas[host] = ConfigReplica(host)
         self.numbers[host] = 0
 
-    # What must hold
+    # Invariants
 
     @invariant()
     def heads_rise_by_one_and_each_patch_stands_once(self):
@@ -273,9 +275,9 @@
         patches = self.platform.heads[-1]["patches"]
         ids = [patch["patch_id"] for patch in patches]
         assert len(ids) == len(set(ids)), f"applied twice: {ids}"
-        stands = {patch["patch_id"]: patch["number"] for patch in patches}
+        applied = {patch["patch_id"]: patch["number"] for patch in patches}
         for patch_id, accepted in self.accepted.items():
-            assert stands.get(patch_id) == accepted.number, f"{patch_id} was lost"
+            assert applied.get(patch_id) == accepted.number, f"{patch_id} was lost"
 
     @invariant()
     def hosts_hold_what_was_accepted(self):
@@ -289,13 +291,13 @@
 
     @invariant()
     def refusals_are_true(self):
-        """What an attempt that never sent its write refused does not stand.
+        """A patch of which every attempt was refused is not applied.
 
-        A repeat may be accepted where an earlier try gave up, so only ids whose
-        every try was refused for good are looked at.
+        A retry may be accepted after an earlier attempt failed, so only ids of which
+        every attempt was refused are checked.
         """
         refused = PatchOutdated | PatchInvalid | PatchUnavailable
-        for patch_id in self.standing_ids():
+        for patch_id in self.applied_ids():
             outcomes = [
                 attempt.outcome
                 for attempt in self.attempts
@@ -304,16 +306,16 @@
             assert not all(isinstance(outcome, refused) for outcome in outcomes)
 
     def teardown(self):
-        """Once the faults stop, every host reaches the head, also through a peer."""
+        """After all faults end, every host adopts the head, also through a peer."""
         if not hasattr(self, "attempts"):
             return
-        for call in self.late:
+        for call in self.delayed_writes:
             self.platform.apply(call)
         for _ in range(60):
             for attempt in self.attempts:
                 while attempt.calls:
                     self.answer(attempt)
-            self.let_pass(0.3)
+            self.advance(0.3)
         assert all(attempt.outcome is not None for attempt in self.attempts)
         self.heads_rise_by_one_and_each_patch_stands_once()
         self.refusals_are_true()
--- a/libs/coordination/tests/test_expiry.py
+++ b/libs/coordination/tests/test_expiry.py
@@ -1,4 +1,4 @@
-"""Old journal segments are removed without looking like the journal's end."""
+"""`SegmentExpiry`: deleted segments are not taken for the end of the journal."""
 
 from gypsumusher_coordination.effects import (
     CallFailed,
@@ -22,10 +22,11 @@
     return expiry, write
 
 
-def test_segment_zero_says_what_still_stands_before_anything_is_deleted():
-    """A survivor seals the journal while old segments are being removed.
+def test_segment_zero_names_the_first_remaining_segment_before_any_delete():
+    """Another host seals the journal while old segments are being deleted.
 
-    It would take a removed segment for the end and call keys in later ones not run.
+    If segment zero did not name the first remaining segment, the sealer would take a
+    deleted one for the end and report keys in later segments as not run.
     """
     expiry, write = make_expiry()
     assert (write.name, write.if_version) == ("home-1.0", 1)
@@ -37,14 +38,14 @@
     ]
 
 
-def test_a_sealed_journal_is_left_as_it_is():
+def test_a_sealed_journal_is_not_changed():
     expiry, write = make_expiry()
     sealed = StoredObject(9, {**VALUE, "sealed": "host-2"})
     expiry.handle(105.0, WriteConflict(write.tag, sealed))
     assert expiry.is_fenced and expiry.tick(999.0) == []
 
 
-def test_lost_answers_are_settled_by_the_next_call():
+def test_lost_responses_are_resolved_by_the_next_call():
     expiry, write = make_expiry()
     expiry.handle(105.0, CallFailed(write.tag, sent=True))
     [again] = expiry.tick(106.0)
--- a/libs/coordination/tests/test_lease.py
+++ b/libs/coordination/tests/test_lease.py
@@ -1,4 +1,4 @@
-"""The lease: one holder at a time, without comparing two hosts' clocks."""
+"""`Lease`: one holder at a time, without comparing the clocks of two hosts."""
 
 import itertools
 
@@ -42,41 +42,41 @@
 
 
 def run(lease, store, now_s, effects=None):
-    """Answer all calls at once; returns what the lease said."""
+    """Perform all calls immediately; return the other effects."""
     effects = lease.tick(now_s) if effects is None else effects
-    said = []
+    outcomes = []
     while effects:
         effect = effects.pop(0)
         if isinstance(effect, LeaseGained | LeaseLost):
-            said.append(effect)
+            outcomes.append(effect)
             continue
         effects.extend(lease.handle(now_s, store.apply(effect)))
-    return said
+    return outcomes
 
 
-def gain(lease, store, now_s):
+def acquire(lease, store, now_s):
     run(lease, store, now_s)
     (gained,) = run(lease, store, now_s)
     return gained
 
 
-def test_first_host_takes_the_lease_and_renews_it():
+def test_first_host_acquires_the_lease_and_renews_it():
     store = Store()
     lease = make_lease("a")
-    assert gain(lease, store, 0.0) == LeaseGained(1, ())
+    assert acquire(lease, store, 0.0) == LeaseGained(1, ())
     for step in range(1, 200):
         assert run(lease, store, step * 0.5) == []
         assert lease.is_held(step * 0.5)
     assert store.stored.value["term"] == 1
-    # A renewal is a third of the duration apart: 100 s take about 50.
+    # Renewals are a third of the duration apart, so 100 s take about 50 of them.
     assert store.stored.version <= 52
 
 
-def test_belief_counts_from_before_the_write_was_sent():
-    """Two stewards order one engine about for the second that an answer took.
+def test_term_counts_from_before_the_write_was_sent():
+    """The platform takes 5 s to respond to a write of the lease.
 
-    The platform stalls for 5 s with a renewal; counted from the answer, the holder
-    would believe in the lease for 5 s longer than anybody else does.
+    Counted from the response, the holder's term would end 5 s later than the written
+    lease, and two hosts could send orders in between.
     """
     store = Store()
     lease = make_lease("a")
@@ -88,7 +88,7 @@
     assert lease.is_held(6.9) and not lease.is_held(7.0)
 
 
-def test_answer_after_the_whole_duration_gives_no_lease():
+def test_response_after_the_whole_duration_gives_no_lease():
     store = Store()
     lease = make_lease("a")
     run(lease, store, 0.0)
@@ -99,25 +99,26 @@
     assert gained.term == 2
 
 
-def test_paused_holder_knows_at_its_first_look_at_the_clock():
+def test_paused_holder_detects_expiry_at_its_first_clock_reading():
     store = Store()
     lease = make_lease("a")
-    gain(lease, store, 0.0)
+    acquire(lease, store, 0.0)
     assert not lease.is_held(100.0)
     assert lease.term_validity().valid_until_s < 100.0
-    said = run(lease, store, 100.0)
-    assert said[0] == LeaseLost(1)
+    outcomes = run(lease, store, 100.0)
+    assert outcomes[0] == LeaseLost(1)
 
 
-def test_nobody_takes_over_before_the_lease_was_unchanged_for_its_duration():
-    """A steward at work is pushed aside, and its orders are refused half-way.
+def test_no_takeover_before_the_lease_was_unchanged_for_its_duration():
+    """A host reads the lease of a holder that renews it.
 
-    The observer counts on its own clock, from when it first read the version that
-    stands; each renewal starts the count anew.
+    It counts on its own clock from its first read of the current version, and each
+    renewal restarts the count. Otherwise it would take over from a live holder, whose
+    orders would then be refused.
     """
     store = Store()
     holder, observer = make_lease("a"), make_lease("b")
-    gain(holder, store, 0.0)
+    acquire(holder, store, 0.0)
     run(observer, store, 5.0)
     for now_s in (7.0, 9.0, 10.9):
         assert run(observer, store, now_s) == []
@@ -130,14 +131,15 @@
     assert gained == LeaseGained(2, (OpenTerm(1, "a", "a-1"),))
 
 
-def test_clocks_that_run_apart_leave_no_moment_with_two_holders():
-    """For a few hundredths of a second two stewards order one engine about.
+def test_clock_drift_never_leads_to_two_holders():
+    """The holder's clock runs slow and the observer's fast, each by 4 in 1,000.
 
-    The holder's clock runs slow and the observer's fast, each by 4 in 1,000.
+    Without the allowance for clock drift both would hold the lease for some hundredths
+    of a second.
     """
     store = Store()
     holder, observer = make_lease("a"), make_lease("b")
-    gain(holder, store, 0.0)
+    acquire(holder, store, 0.0)
     run(observer, store, 0.0)
     for step in range(500, 700):
         real_s = step / 100
@@ -149,23 +151,23 @@
 
 def test_two_observers_race_and_one_wins():
     store = Store()
-    gain(make_lease("a"), store, 0.0)
+    acquire(make_lease("a"), store, 0.0)
     observers = [make_lease("b"), make_lease("c")]
     for observer in observers:
         run(observer, store, 1.0)
     writes = [observer.tick(8.0)[0] for observer in observers]
     answers = [store.apply(write) for write in writes]
-    said = [
+    outcomes = [
         observer.handle(8.1, answer) for observer, answer in zip(observers, answers)
     ]
-    assert [len(effects) for effects in said] == [1, 0]
+    assert [len(effects) for effects in outcomes] == [1, 0]
     assert [observer.is_held(8.1) for observer in observers] == [True, False]
 
 
-def test_renewal_under_way_during_a_takeover_fails_on_its_condition():
+def test_renewal_in_flight_during_a_takeover_fails_its_condition():
     store = Store()
     holder, observer = make_lease("a"), make_lease("b")
-    gain(holder, store, 0.0)
+    acquire(holder, store, 0.0)
     run(observer, store, 0.0)
     (renewal,) = holder.tick(5.9)
     run(observer, store, 6.1)
@@ -175,15 +177,15 @@
 
 
 @pytest.mark.parametrize("took_effect", [True, False])
-def test_lost_answer_is_settled_by_reading(took_effect):
-    """The steward's lease runs out although its renewal stands on the platform.
+def test_lost_response_is_resolved_by_reading(took_effect):
+    """The response to a renewal is lost, whether the renewal took effect or not.
 
-    The answer is lost. Reading finds the renewal's nonce, and the belief counts
-    from when that renewal was sent, not from when it was read.
+    If it did, the read returns its nonce, and the term counts from when the renewal was
+    sent, not from the read. Otherwise the lease would expire despite the renewal.
     """
     store = Store()
     lease = make_lease("a")
-    gain(lease, store, 0.0)
+    acquire(lease, store, 0.0)
     (renewal,) = lease.tick(2.0)
     if took_effect:
         store.apply(renewal)
@@ -194,10 +196,10 @@
     assert lease.valid_until_s == 10.0
 
 
-def test_lost_write_that_lands_late_is_still_our_own():
+def test_lost_write_that_takes_effect_late_is_recognised():
     store = Store()
     lease = make_lease("a")
-    gain(lease, store, 0.0)
+    acquire(lease, store, 0.0)
     (lost,) = lease.tick(2.0)
     (read,) = lease.handle(2.5, CallFailed(lost.tag, sent=True))
     lease.handle(2.6, store.apply(read))
@@ -207,20 +209,20 @@
     assert lease.valid_until_s == 2.0 + DURATION_S
 
 
-def test_outage_ends_the_term_and_writes_do_not_pile_up():
+def test_outage_ends_the_term_and_pending_writes_are_bounded():
     store = Store()
     lease = make_lease("a")
-    gain(lease, store, 0.0)
-    said = []
+    acquire(lease, store, 0.0)
+    outcomes = []
     for step in range(1, 400):
         effects = lease.tick(step * 0.5)
         while effects:
             effect = effects.pop(0)
             if isinstance(effect, LeaseLost):
-                said.append((step * 0.5, effect))
+                outcomes.append((step * 0.5, effect))
                 continue
             effects.extend(lease.handle(step * 0.5, CallFailed(effect.tag, sent=True)))
-    assert said == [(6.0, LeaseLost(1))]
+    assert outcomes == [(6.0, LeaseLost(1))]
     assert len(lease._pending_writes_s) < 20
     (gained,) = run(lease, store, 300.0)
     assert gained.term == 2
@@ -229,7 +231,7 @@
 def test_released_lease_is_free_at_once_and_leaves_no_open_term():
     store = Store()
     holder, observer = make_lease("a"), make_lease("b")
-    gain(holder, store, 0.0)
+    acquire(holder, store, 0.0)
     assert run(holder, store, 1.0, holder.release(1.0)) == [LeaseLost(1)]
     assert holder.is_released and not holder.is_held(1.0)
     assert holder.tick(50.0) == []
@@ -237,7 +239,7 @@
     assert run(observer, store, 1.1) == [LeaseGained(2, ())]
 
 
-def test_release_waits_for_a_write_under_way():
+def test_release_waits_for_a_write_in_flight():
     store = Store()
     lease = make_lease("a")
     run(lease, store, 0.0)
@@ -250,14 +252,15 @@
 
 
 def test_open_terms_outlast_a_second_takeover():
-    """A steward orders an engine while the steward before last still has an order out.
+    """The holder before last may still have an order in flight.
 
-    The first dies unreleased; the second takes over and stops in a planned way; the
-    third sees a released lease and would not wait for the first one's late order.
+    The first holder dies without releasing the lease; the second takes over and stops
+    in a planned way. Without the list of open terms the third would see a released
+    lease and not wait for the first one's late order.
     """
     store = Store()
     first, second, third = make_lease("a"), make_lease("b"), make_lease("c")
-    gain(first, store, 0.0)
+    acquire(first, store, 0.0)
     run(second, store, 0.0)
     assert run(second, store, 7.0) == [LeaseGained(2, (OpenTerm(1, "a", "a-1"),))]
     run(second, store, 7.5, second.release(7.5))
@@ -268,33 +271,33 @@
     assert store.stored.value["open_terms"] == []
 
 
-def test_a_host_that_heard_of_the_last_version_takes_over_when_it_has_lapsed():
-    # The platform is down for eight seconds, and the holder is stopped meanwhile. The
-    # next host heard of the lease before; once the platform is back it need not wait
-    # for the whole duration again.
-    store, holder, heir = Store(), make_lease("a"), make_lease("b")
-    gain(holder, store, 0.0)
-    heir.on_stored_received(0.5, store.stored)
-    assert heir.last_stored() == store.stored
-    (gained,) = run(heir, store, 0.5 + 1.02 * DURATION_S)
+def test_host_that_received_the_last_version_takes_over_at_its_expiry():
+    # The platform is down for eight seconds, and the holder stops during that time. The
+    # next host received the lease from a peer before, so once the platform is back it
+    # need not wait for the whole duration again.
+    store, holder, successor = Store(), make_lease("a"), make_lease("b")
+    acquire(holder, store, 0.0)
+    successor.on_stored_received(0.5, store.stored)
+    assert successor.last_stored() == store.stored
+    (gained,) = run(successor, store, 0.5 + 1.02 * DURATION_S)
     assert gained.term == 2
     assert not holder.is_held(0.5 + 1.02 * DURATION_S)
 
 
-def test_a_version_that_was_renewed_unheard_is_not_taken_over():
-    store, holder, heir = Store(), make_lease("a"), make_lease("b")
-    gain(holder, store, 0.0)
-    heir.on_stored_received(0.5, store.stored)
+def test_no_takeover_if_a_renewal_was_not_received():
+    store, holder, successor = Store(), make_lease("a"), make_lease("b")
+    acquire(holder, store, 0.0)
+    successor.on_stored_received(0.5, store.stored)
     run(holder, store, 3.0)
-    assert not run(heir, store, 0.5 + 1.02 * DURATION_S)
+    assert not run(successor, store, 0.5 + 1.02 * DURATION_S)
     assert holder.is_held(0.5 + 1.02 * DURATION_S)
 
 
-def test_an_older_version_that_is_heard_late_changes_nothing():
-    store, holder, heir = Store(), make_lease("a"), make_lease("b")
-    gain(holder, store, 0.0)
+def test_older_version_received_late_is_ignored():
+    store, holder, successor = Store(), make_lease("a"), make_lease("b")
+    acquire(holder, store, 0.0)
     old = store.stored
     run(holder, store, 3.0)
-    heir.on_stored_received(3.1, store.stored)
-    heir.on_stored_received(9.0, old)
-    assert heir.last_stored() == store.stored
+    successor.on_stored_received(3.1, store.stored)
+    successor.on_stored_received(9.0, old)
+    assert successor.last_stored() == store.stored
--- a/libs/coordination/tests/test_membership.py
+++ b/libs/coordination/tests/test_membership.py
@@ -1,4 +1,4 @@
-"""Membership: suspicion that heals, leaving endpoints, bounded messages."""
+"""`Membership`: suspicion and recovery, leaving endpoints, bounded messages."""
 
 import msgpack
 import pytest
@@ -24,11 +24,11 @@
     return cell
 
 
-def exchange(cell, now_s, cut=(), on_message=lambda sender, message: None):
+def exchange(cell, now_s, unreachable=(), on_message=lambda sender, message: None):
     for name, member in cell.items():
         for probe in member.tick(now_s):
             on_message(name, probe.message)
-            if name in cut or probe.host in cut:
+            if name in unreachable or probe.host in unreachable:
                 member.on_probe_failed(now_s, probe.host)
                 continue
             answer = cell[probe.host].on_probe(now_s, name, probe.message)
@@ -42,14 +42,14 @@
     return start_s + seconds
 
 
-def test_a_paused_host_is_suspected_and_healed_by_its_first_answer():
-    """A host stops answering for a few seconds and comes back.
+def test_a_paused_host_is_suspect_until_its_first_response():
+    """A host doesn't respond for a few seconds and recovers.
 
-    Callers see no refusal. The other hosts route around it after two failed probes;
-    it is live again with the first answer, as suspicion is never passed on.
+    The other hosts route around it after two failed probes, so callers get no refusal.
+    It is live again with its first response, because suspicions are not gossiped.
     """
     cell = make_cell(3)
-    now_s = run(cell, 0.0, 6.0, cut={"host-2"})
+    now_s = run(cell, 0.0, 6.0, unreachable={"host-2"})
     assert cell["host-0"].host_state("host-2") == "suspect"
     assert cell["host-0"].host_state("host-1") == "live"
     run(cell, now_s, POLICY.probe_interval_s + 0.2)
@@ -69,11 +69,11 @@
 
 
 @pytest.mark.parametrize("source", [PLATFORM_SOURCE, ENDPOINT_SOURCE])
-def test_one_host_hears_that_an_endpoint_leaves_and_all_know_within_a_second(source):
-    """The platform's list lags: for now only one host has heard of the leaving.
+def test_a_leaving_endpoint_is_known_to_all_hosts_within_a_second(source):
+    """The platform's list lags, and only one host knows that the endpoint is leaving.
 
-    Without gossip the others would send work to the endpoint until their own lists
-    catch up. Their stale lists, read again meanwhile, must not bring it back.
+    Without gossip the other hosts would send requests to the endpoint until their own
+    lists catch up. Their stale lists must not put it back into service either.
     """
     cell = make_cell(8, ["engine"])
     now_s = run(cell, 0.0, 3.0)
@@ -86,7 +86,7 @@
     assert all(member.is_endpoint_leaving("engine") for member in cell.values())
 
 
-def test_an_endpoint_that_comes_back_is_taken_again():
+def test_an_endpoint_that_returns_is_live_again():
     cell = make_cell(3, ["engine"])
     now_s = 0.0
     for is_leaving in (True, False, True, False):
@@ -96,40 +96,41 @@
             assert member.is_endpoint_leaving("engine") == is_leaving
 
 
-def test_the_endpoints_word_does_not_overrule_the_list():
+def test_the_endpoint_state_does_not_override_the_list():
     member = make_cell(1)["host-0"]
     member.on_source_report(0.0, "engine", PLATFORM_SOURCE, True)
     member.on_source_report(1.0, "engine", ENDPOINT_SOURCE, False)
     assert member.is_endpoint_leaving("engine")
 
 
-def test_a_contradiction_that_outlasts_the_lag_is_believed():
-    """Two hosts count up at once, one for leaving and one for back: leaving wins.
+def test_a_contradiction_longer_than_the_source_lag_wins():
+    """Two hosts increment a counter concurrently, for leaving and for live.
 
-    The host whose list said "back" first sees no further change. Without the
-    settling time the endpoint would stay out of work for ever.
+    Leaving wins. The list of the host that reported the endpoint as live doesn't change
+    any more, so without `source_lag_s` the endpoint would stay out of service
+    permanently.
     """
     member = make_cell(2, ["engine"])["host-0"]
-    news = {"incarnation": "incarnation-1", "leaving": False}
-    member.on_probe(1.0, "host-1", {**news, "facts": [["engine", 0, 5, 1]]})
+    message = {"incarnation": "incarnation-1", "leaving": False}
+    member.on_probe(1.0, "host-1", {**message, "facts": [["engine", 0, 5, 1]]})
     member.on_source_report(2.0, "engine", PLATFORM_SOURCE, False)
     assert member.is_endpoint_leaving("engine")
     member.on_source_report(2.0 + POLICY.source_lag_s, "engine", PLATFORM_SOURCE, False)
     assert not member.is_endpoint_leaving("engine")
 
 
-def test_two_hosts_that_count_up_at_once_agree_on_leaving():
+def test_concurrent_increments_agree_on_leaving():
     member = make_cell(2, ["engine"])["host-0"]
     member.on_source_report(1.0, "engine", PLATFORM_SOURCE, True)
     member.on_source_report(2.0, "engine", PLATFORM_SOURCE, False)
-    news = {"incarnation": "incarnation-1", "leaving": False}
-    member.on_probe(3.0, "host-1", {**news, "facts": [["engine", 0, 2, 1]]})
+    message = {"incarnation": "incarnation-1", "leaving": False}
+    member.on_probe(3.0, "host-1", {**message, "facts": [["engine", 0, 2, 1]]})
     assert member.is_endpoint_leaving("engine")
-    member.on_probe(4.0, "host-1", {**news, "facts": [["engine", 0, 2, 0]]})
+    member.on_probe(4.0, "host-1", {**message, "facts": [["engine", 0, 2, 0]]})
     assert member.is_endpoint_leaving("engine")
 
 
-def test_news_that_changes_while_a_probe_is_out_is_sent_again():
+def test_a_state_that_changes_during_a_probe_is_sent_again():
     member = make_cell(2, ["engine"])["host-0"]
     member.on_source_report(9.0, "engine", PLATFORM_SOURCE, True)
     [probe] = member.tick(9.0)
@@ -142,8 +143,8 @@
     assert member.tick(9.9) == []
 
 
-def test_eight_hosts_and_25_endpoints_stay_under_2_kb_a_second():
-    """Every endpoint leaves and comes back once a minute, heard by every host."""
+def test_8_hosts_and_25_endpoints_stay_below_2_kb_per_second():
+    """Every endpoint leaves and returns once a minute, as reported by every host."""
     endpoints = [f"engine-{number:03}.suwon-a" for number in range(25)]
     cell = make_cell(8, endpoints)
     sent_bytes = dict.fromkeys(cell, 0)
@@ -179,6 +180,6 @@
         {"incarnation": "x", "leaving": False, "facts": [["engine", 1.0, 1, 1]]},
     ],
 )
-def test_a_message_of_another_protocol_is_refused(message):
+def test_a_malformed_message_is_refused(message):
     with pytest.raises(ValueError, match="message"):
         make_cell(2)["host-0"].on_probe(0.0, "host-1", message)
--- a/libs/coordination/tests/test_membership_machine.py
+++ b/libs/coordination/tests/test_membership_machine.py
@@ -1,4 +1,4 @@
-"""Membership under cuts, lagging lists and endpoints that come and go."""
+"""State machine test: membership under partitions, lagging lists and changes."""
 
 import hypothesis.strategies as st
 from hypothesis import settings
@@ -14,18 +14,18 @@
 ENDPOINTS = ("engine-1", "engine-2")
 HOST = st.sampled_from(HOSTS)
 ENDPOINT = st.sampled_from(ENDPOINTS)
-MESSAGE_LIMIT_BYTES = 1_000
+MESSAGE_MAX_BYTES = 1_000
 
 
 class MembershipMachine(RuleBasedStateMachine):
-    """Three hosts, two endpoints; each host reads the list with a lag of its own."""
+    """Three hosts and two endpoints; each host reads the list with its own lag."""
 
     def __init__(self):
         super().__init__()
         self.now_s = 0.0
         self.is_leaving = dict.fromkeys(ENDPOINTS, False)
-        self.cut = set()
-        self.late = []
+        self.unreachable = set()
+        self.delayed_probes = []
         self.incarnations = dict.fromkeys(HOSTS, 0)
         self.members = {}
         for host in HOSTS:
@@ -57,31 +57,31 @@
 
     @rule(host=HOST)
     def cut_off(self, host):
-        self.cut.add(host)
+        self.unreachable.add(host)
 
     @rule(host=HOST)
     def join_again(self, host):
-        self.cut.discard(host)
+        self.unreachable.discard(host)
 
     @rule(wait_s=st.sampled_from((0.1, 0.5, 2.0, 70.0)), is_late=st.booleans())
     def exchange(self, wait_s, is_late):
         self.now_s += wait_s
         for host, member in self.members.items():
             for probe in member.tick(self.now_s):
-                assert max_message_bytes(probe.message) < MESSAGE_LIMIT_BYTES
+                assert max_message_bytes(probe.message) < MESSAGE_MAX_BYTES
                 if is_late:
-                    self.late.append((host, probe))
+                    self.delayed_probes.append((host, probe))
                     continue
                 self.deliver(host, probe)
 
     @rule(index=st.integers(0, 2**16))
     def deliver_late(self, index):
-        if self.late:
-            self.deliver(*self.late.pop(index % len(self.late)))
+        if self.delayed_probes:
+            self.deliver(*self.delayed_probes.pop(index % len(self.delayed_probes)))
 
     def deliver(self, host, probe):
         member = self.members[host]
-        if host in self.cut or probe.host in self.cut:
+        if host in self.unreachable or probe.host in self.unreachable:
             member.on_probe_failed(self.now_s, probe.host)
             return
         answer = self.members[probe.host].on_probe(self.now_s, host, probe.message)
@@ -93,9 +93,9 @@
             assert member.host_state(host) == "live"
 
     def teardown(self):
-        """All is healed: every host is live to every other and the list is believed."""
-        self.cut.clear()
-        self.late.clear()
+        """After all faults end, all hosts are live to each other and know the list."""
+        self.unreachable.clear()
+        self.delayed_probes.clear()
         for _ in range(6):
             for host in HOSTS:
                 for endpoint in ENDPOINTS:
--- a/libs/coordination/tests/test_orders.py
+++ b/libs/coordination/tests/test_orders.py
@@ -1,4 +1,4 @@
-"""Orders: one unfinished order an engine, and none without authority."""
+"""`OrderController`: one unfinished order per engine, none without the lease."""
 
 import itertools
 
@@ -23,11 +23,11 @@
 
 PREFILL = {"role": "prefill"}
 DECODE = {"role": "decode"}
-OLD = (OpenTerm(1, "a", "a-1"),)
+FORMER_TERMS = (OpenTerm(1, "a", "a-1"),)
 
 
 class Store:
-    """The intents, with conditional writes."""
+    """The intent records, with conditional writes."""
 
     def __init__(self, intents=()):
         self.revisions = itertools.count(1)
@@ -48,48 +48,50 @@
         return self.objects[engine].value["state"]
 
 
-class Steward:
-    """A book with a lease that the test sets; platform calls are answered at once."""
+class LeaseHolder:
+    """A controller whose lease the test sets; platform calls succeed immediately."""
 
-    def __init__(self, store, term=2, fencing="refuses", timeout_s=2.0, previous=()):
+    def __init__(self, store, term=2, fencing="refuses", timeout_s=2.0, open_terms=()):
         self.store = store
         self.valid_until_s = 1000.0
         self.term = term
-        self.book = OrderController("d", fencing, timeout_s, self.authority)
-        self.book.set_engines(0.0, ["e"])
-        self.said = self.run(0.0, self.book.on_lease_gained(0.0, term, previous))
+        self.controller = OrderController("d", fencing, timeout_s, self.term_validity)
+        self.controller.set_engines(0.0, ["e"])
+        self.effects = self.run(
+            0.0, self.controller.on_lease_gained(0.0, term, open_terms)
+        )
 
-    def authority(self):
+    def term_validity(self):
         return TermValidity("b-1", self.term, self.valid_until_s)
 
     def run(self, now_s, effects):
-        """Answer platform calls; returns the other effects."""
-        said = []
+        """Perform platform calls; return the other effects."""
+        others = []
         while effects:
             effect = effects.pop(0)
             if not isinstance(effect, ReadObject | WriteObject):
-                said.append(effect)
+                others.append(effect)
                 continue
-            effects.extend(self.book.handle(now_s, self.store.apply(effect)))
-        return said
+            effects.extend(self.controller.handle(now_s, self.store.apply(effect)))
+        return others
 
     def tick(self, now_s):
-        return self.run(now_s, self.book.tick(now_s))
+        return self.run(now_s, self.controller.tick(now_s))
 
-    def want(self, now_s, goal):
-        return self.run(now_s, self.book.set_goal(now_s, "e", goal))
+    def set_goal(self, now_s, goal):
+        return self.run(now_s, self.controller.set_goal(now_s, "e", goal))
 
     def answer(self, now_s, effect, state, order_id=None):
         order_id = effect.order_id if order_id is None else order_id
         event = OrderReply("e", order_id, state, effect.tag)
-        return self.run(now_s, self.book.handle(now_s, event))
+        return self.run(now_s, self.controller.handle(now_s, event))
 
     def fail(self, now_s, effect, sent):
         event = OrderCallFailed("e", getattr(effect, "order_id", ""), sent, effect.tag)
-        return self.run(now_s, self.book.handle(now_s, event))
+        return self.run(now_s, self.controller.handle(now_s, event))
 
 
-def intended(order_id="a-1.1.1", goal=None):
+def make_intent(order_id="a-1.1.1", goal=None):
     return {
         "order_id": order_id,
         "term": 1,
@@ -99,261 +101,264 @@
     }
 
 
-def test_order_goes_out_after_its_intent_and_is_settled():
+def test_order_is_sent_after_its_intent_and_completes():
     store = Store()
-    steward = Steward(store)
-    (send,) = steward.want(1.0, DECODE)
+    holder = LeaseHolder(store)
+    (send,) = holder.set_goal(1.0, DECODE)
     assert isinstance(send, SendOrder)
     assert send[:5] == ("e", "b-1.2.1", 2, DECODE, 1000.0)
-    assert store.objects["e"].value == intended("b-1.2.1", DECODE) | {"term": 2}
-    assert steward.book.busy_engines() == {"e"}
-    assert steward.answer(1.1, send, "accepted") == []
-    (query,) = steward.tick(2.0)
+    assert store.objects["e"].value == make_intent("b-1.2.1", DECODE) | {"term": 2}
+    assert holder.controller.busy_engines() == {"e"}
+    assert holder.answer(1.1, send, "accepted") == []
+    (query,) = holder.tick(2.0)
     assert isinstance(query, QueryOrder)
-    assert steward.answer(2.0, query, "running", "b-1.2.1") == []
-    (query,) = steward.tick(3.0)
-    (settled,) = steward.answer(3.0, query, "done", "b-1.2.1")
+    assert holder.answer(2.0, query, "running", "b-1.2.1") == []
+    (query,) = holder.tick(3.0)
+    (settled,) = holder.answer(3.0, query, "done", "b-1.2.1")
     assert settled == OrderEnded("e", "b-1.2.1", DECODE, "done", "")
     assert store.state() == "done"
-    assert steward.book.busy_engines() == set()
+    assert holder.controller.busy_engines() == set()
 
 
 def test_second_goal_waits_for_the_first_order():
-    steward = Steward(Store())
-    (send,) = steward.want(1.0, DECODE)
-    assert steward.want(1.1, PREFILL) == []
-    settled, second = steward.answer(1.2, send, "done")
+    holder = LeaseHolder(Store())
+    (send,) = holder.set_goal(1.0, DECODE)
+    assert holder.set_goal(1.1, PREFILL) == []
+    settled, second = holder.answer(1.2, send, "done")
     assert settled.goal == DECODE
     assert second.goal == PREFILL
     assert second.order_id != send.order_id
 
 
-def test_goal_under_way_is_not_ordered_twice():
-    steward = Steward(Store())
-    (send,) = steward.want(1.0, DECODE)
-    steward.want(1.1, DECODE)
-    assert len(steward.answer(1.2, send, "done")) == 1
+def test_goal_of_the_unfinished_order_is_not_ordered_twice():
+    holder = LeaseHolder(Store())
+    (send,) = holder.set_goal(1.0, DECODE)
+    holder.set_goal(1.1, DECODE)
+    assert len(holder.answer(1.2, send, "done")) == 1
 
 
-def test_lost_answer_repeats_the_same_order():
-    steward = Steward(Store())
-    (send,) = steward.want(1.0, DECODE)
-    assert steward.fail(1.1, send, sent=True) == []
-    assert steward.book.has_orders_in_flight()
-    (again,) = steward.tick(2.0)
-    assert again.order_id == send.order_id
-    steward.answer(2.1, again, "running")
-    assert not steward.book.has_orders_in_flight()
+def test_lost_reply_repeats_the_same_order():
+    holder = LeaseHolder(Store())
+    (send,) = holder.set_goal(1.0, DECODE)
+    assert holder.fail(1.1, send, sent=True) == []
+    assert holder.controller.has_orders_in_flight()
+    (repeat,) = holder.tick(2.0)
+    assert repeat.order_id == send.order_id
+    holder.answer(2.1, repeat, "running")
+    assert not holder.controller.has_orders_in_flight()
 
 
-def test_busy_engine_gets_the_same_order_later():
-    steward = Steward(Store())
-    (send,) = steward.want(1.0, DECODE)
-    assert steward.answer(1.1, send, "busy") == []
-    (again,) = steward.tick(2.0)
-    assert again.order_id == send.order_id
+def test_busy_engine_is_sent_the_same_order_later():
+    holder = LeaseHolder(Store())
+    (send,) = holder.set_goal(1.0, DECODE)
+    assert holder.answer(1.1, send, "busy") == []
+    (repeat,) = holder.tick(2.0)
+    assert repeat.order_id == send.order_id
 
 
-def test_refusal_leaves_an_earlier_copy_open():
-    """A released steward's order runs after the next steward's.
+def test_refusal_keeps_an_earlier_copy_in_flight():
+    """The reply to an order was lost, and its repeat was refused as busy.
 
-    The first copy's answer was lost and the repeat was refused as busy, so that the
-    engine does not know the order: the first copy may still arrive and run.
+    The engine doesn't know the order, so the first copy may still arrive and run. If
+    the lease were released, that could happen after the next holder's order.
     """
-    steward = Steward(Store())
-    (send,) = steward.want(1.0, DECODE)
-    steward.fail(1.1, send, sent=True)
-    (again,) = steward.tick(2.0)
-    steward.answer(2.1, again, "busy")
-    assert steward.book.has_orders_in_flight()
-    (third,) = steward.tick(3.0)
-    steward.answer(3.1, third, "accepted")
-    assert not steward.book.has_orders_in_flight()
-
-
-def test_intent_that_came_after_the_takeover_is_never_carried_out():
-    """An engine drains because a steward that was replaced had meant it to.
-
-    The former steward is paused with its intent's write on the way; the next one
-    reads that the engine is idle; the write lands. Its sender can't send the order
-    any more, so the next steward must not do it in its place.
+    holder = LeaseHolder(Store())
+    (send,) = holder.set_goal(1.0, DECODE)
+    holder.fail(1.1, send, sent=True)
+    (repeat,) = holder.tick(2.0)
+    holder.answer(2.1, repeat, "busy")
+    assert holder.controller.has_orders_in_flight()
+    (third,) = holder.tick(3.0)
+    holder.answer(3.1, third, "accepted")
+    assert not holder.controller.has_orders_in_flight()
+
+
+def test_intent_written_after_the_takeover_is_not_executed():
+    """The intent of a former lease holder is written after the next one's first read.
+
+    The former holder is paused with the write in flight. It can't send the order any
+    more, so the next holder must not send it either. Otherwise the engine would be
+    drained by an abandoned order.
     """
-    store = Store({"e": intended() | {"state": "done"}})
-    steward = Steward(store, previous=OLD)
+    store = Store({"e": make_intent() | {"state": "done"}})
+    holder = LeaseHolder(store, open_terms=FORMER_TERMS)
     version = store.objects["e"].version
-    late = intended("a-1.1.2", {"drain": True})
+    late = make_intent("a-1.1.2", {"drain": True})
     store.apply(WriteObject("late", "orders", "e", late, version))
-    (send,) = steward.want(1.0, DECODE)
+    (send,) = holder.set_goal(1.0, DECODE)
     assert (send.goal, send.term) == (DECODE, 2)
     assert store.objects["e"].value["goal"] == DECODE
 
 
-def test_engine_missing_from_the_list_for_a_moment_keeps_its_order():
-    """An engine changes to one role and, a second later, to another one.
+def test_engine_briefly_missing_from_the_list_keeps_its_order():
+    """A lagging list omits the engine while an order's reply is lost.
 
-    The lagging list drops the engine while an order's answer is lost, and shows it
-    again. A steward that had forgotten the order would ask the engine, hear of none
-    and order another goal, and then the first copy arrives.
+    If the controller dropped the order, it would query the engine, learn of no order
+    and send another one. Then the first copy would arrive, and the engine would change
+    its role twice.
     """
-    steward = Steward(Store(), fencing="ignores")
-    (send,) = steward.want(1.0, DECODE)
-    steward.run(1.1, steward.book.set_engines(1.1, []))
-    assert steward.fail(1.2, send, sent=True) == []
-    assert steward.tick(5.0) == []
-    (again,) = steward.run(6.0, steward.book.set_engines(6.0, ["e"]))
-    assert isinstance(again, SendOrder)
-    assert again.order_id == send.order_id
-    assert steward.answer(6.1, again, "running") == []
-    (query,) = steward.tick(7.0)
-    steward.run(7.1, steward.book.set_engines(7.1, []))
-    (settled,) = steward.answer(7.2, query, "done", send.order_id)
+    holder = LeaseHolder(Store(), fencing="ignores")
+    (send,) = holder.set_goal(1.0, DECODE)
+    holder.run(1.1, holder.controller.set_engines(1.1, []))
+    assert holder.fail(1.2, send, sent=True) == []
+    assert holder.tick(5.0) == []
+    (repeat,) = holder.run(6.0, holder.controller.set_engines(6.0, ["e"]))
+    assert isinstance(repeat, SendOrder)
+    assert repeat.order_id == send.order_id
+    assert holder.answer(6.1, repeat, "running") == []
+    (query,) = holder.tick(7.0)
+    holder.run(7.1, holder.controller.set_engines(7.1, []))
+    (settled,) = holder.answer(7.2, query, "done", send.order_id)
     assert settled.state == "done"
-    steward.run(7.3, steward.book.set_engines(7.3, []))
-    assert steward.book.busy_engines() == set()
+    holder.run(7.3, holder.controller.set_engines(7.3, []))
+    assert holder.controller.busy_engines() == set()
 
 
-def test_engine_that_crashed_in_the_middle_forgot_its_order():
-    """An engine restarts in the middle of a role change and is given a second one.
+def test_order_unknown_after_an_engine_crash_ends_as_failed():
+    """An engine restarts during a role change and knows no order afterwards.
 
-    After the restart it knows no order. The steward asks, settles the order as
-    failed, and only then orders something else.
+    The controller queries it, ends the order as failed, and only then sends the next
+    one.
     """
-    steward = Steward(Store())
-    (send,) = steward.want(1.0, DECODE)
-    steward.answer(1.1, send, "accepted")
-    steward.want(1.2, PREFILL)
-    (query,) = steward.tick(2.0)
-    settled, send = steward.answer(2.1, query, "none", "")
+    holder = LeaseHolder(Store())
+    (send,) = holder.set_goal(1.0, DECODE)
+    holder.answer(1.1, send, "accepted")
+    holder.set_goal(1.2, PREFILL)
+    (query,) = holder.tick(2.0)
+    settled, send = holder.answer(2.1, query, "none", "")
     assert (settled.state, settled.goal) == ("failed", DECODE)
     assert send.goal == PREFILL
 
 
-def test_lapsed_lease_stops_orders_at_every_step():
+def test_expired_lease_stops_orders_at_every_step():
     store = Store()
-    steward = Steward(store)
-    steward.valid_until_s = 5.0
-    (write,) = steward.book.set_goal(4.9, "e", DECODE)
-    # The steward is paused here; the write's answer is handled after the lapse.
-    assert steward.book.handle(5.0, store.apply(write)) == []
-    assert steward.tick(6.0) == []
-    steward.valid_until_s = 100.0
-    steward.term = 4
-    assert steward.tick(7.0) == [], "a new term begins with on_lease"
-    steward.book.on_lease_lost(7.0)
-    assert steward.tick(8.0) == []
-
-
-def test_new_steward_settles_an_intent_before_its_own_order():
-    """Two goals reach one engine because a steward died between intent and answer.
-
-    The engine refuses old numbers: it gets the very same order under the new term,
-    so that the first copy, should it still come, is a repeat of a known id.
+    holder = LeaseHolder(store)
+    holder.valid_until_s = 5.0
+    (write,) = holder.controller.set_goal(4.9, "e", DECODE)
+    # The host is paused here; the response is handled after the lease has expired.
+    assert holder.controller.handle(5.0, store.apply(write)) == []
+    assert holder.tick(6.0) == []
+    holder.valid_until_s = 100.0
+    holder.term = 4
+    assert holder.tick(7.0) == [], "a new term begins with on_lease_gained"
+    holder.controller.on_lease_lost(7.0)
+    assert holder.tick(8.0) == []
+
+
+def test_new_holder_settles_an_intent_before_its_own_order():
+    """A lease holder died between writing an intent and receiving the reply.
+
+    The engine checks fencing numbers and is sent the same order under the new term.
+    If the first copy arrives later, it is a repeat of a known id. Otherwise orders
+    with two goals could run.
     """
-    store = Store({"e": intended()})
-    steward = Steward(store, previous=OLD)
-    (repeat,) = steward.said
+    store = Store({"e": make_intent()})
+    holder = LeaseHolder(store, open_terms=FORMER_TERMS)
+    (repeat,) = holder.effects
     assert (repeat.order_id, repeat.term, repeat.goal) == ("a-1.1.1", 2, PREFILL)
-    assert steward.want(0.1, DECODE) == []
-    assert steward.answer(0.2, repeat, "running") == []
-    (query,) = steward.tick(1.0)
-    settled, send = steward.answer(1.1, query, "done", "a-1.1.1")
+    assert holder.set_goal(0.1, DECODE) == []
+    assert holder.answer(0.2, repeat, "running") == []
+    (query,) = holder.tick(1.0)
+    settled, send = holder.answer(1.1, query, "done", "a-1.1.1")
     assert settled.order_id == "a-1.1.1"
     assert (send.goal, send.term) == (DECODE, 2)
 
 
-def test_engine_that_ignores_numbers_is_left_alone_until_old_connections_closed():
-    """A paused steward wakes up, and its order takes effect beside the new one's.
+def test_engine_that_ignores_fencing_gets_no_order_until_old_connections_close():
+    """A holder is paused between its check of the lease and its write.
 
-    It was paused between its check and its write, on a connection that was open.
-    The engine closes that connection `order_timeout_s` after it was opened.
+    Its connection was open, so its order could take effect beside that of the new
+    holder. The engine closes the connection `order_timeout_s` after it was opened.
     """
-    steward = Steward(Store({"e": intended()}), fencing="ignores", previous=OLD)
-    assert steward.said == []
-    assert steward.want(0.5, DECODE) == []
-    assert steward.tick(2.0) == []
-    assert steward.book.blocking_terms() == OLD
-    terms, query = steward.tick(2.1)
+    holder = LeaseHolder(
+        Store({"e": make_intent()}), fencing="ignores", open_terms=FORMER_TERMS
+    )
+    assert holder.effects == []
+    assert holder.set_goal(0.5, DECODE) == []
+    assert holder.tick(2.0) == []
+    assert holder.controller.blocking_terms() == FORMER_TERMS
+    terms, query = holder.tick(2.1)
     assert terms == TermsClosed((1,))
     assert isinstance(query, QueryOrder)
-    settled, send = steward.answer(2.2, query, "none", "")
+    settled, send = holder.answer(2.2, query, "none", "")
     assert (settled.order_id, settled.state) == ("a-1.1.1", "failed")
     assert send.goal == DECODE
 
 
-def test_engine_without_any_limit_waits_for_an_operator():
-    options = {"fencing": "ignores", "timeout_s": None, "previous": OLD}
-    steward = Steward(Store(), **options)
-    assert steward.want(1.0, DECODE) == []
-    assert steward.tick(10_000.0) == []
-    steward.valid_until_s = 20_000.0
-    assert steward.book.confirm_holder_dead(10_001.0, 7) == []
-    said = steward.run(10_002.0, steward.book.confirm_holder_dead(10_002.0, 1))
-    assert said[0] == TermsClosed((1,))
-    assert said[1].goal == DECODE
-    released = Steward(Store(), **options | {"previous": ()})
-    assert len(released.want(0.1, DECODE)) == 1
+def test_engine_without_order_timeout_waits_for_an_operator():
+    options = {"fencing": "ignores", "timeout_s": None, "open_terms": FORMER_TERMS}
+    holder = LeaseHolder(Store(), **options)
+    assert holder.set_goal(1.0, DECODE) == []
+    assert holder.tick(10_000.0) == []
+    holder.valid_until_s = 20_000.0
+    assert holder.controller.confirm_holder_dead(10_001.0, 7) == []
+    effects = holder.run(10_002.0, holder.controller.confirm_holder_dead(10_002.0, 1))
+    assert effects[0] == TermsClosed((1,))
+    assert effects[1].goal == DECODE
+    released = LeaseHolder(Store(), **options | {"open_terms": ()})
+    assert len(released.set_goal(0.1, DECODE)) == 1
 
 
-def test_own_former_term_needs_no_wait_unless_an_order_is_on_its_way():
-    previous = (OpenTerm(2, "b", "b-1"),)
+def test_own_former_term_needs_no_wait_unless_an_order_is_in_flight():
+    open_terms = (OpenTerm(2, "b", "b-1"),)
     for lost in (False, True):
-        steward = Steward(Store(), fencing="ignores", timeout_s=None)
-        (send,) = steward.want(1.0, DECODE)
+        holder = LeaseHolder(Store(), fencing="ignores", timeout_s=None)
+        (send,) = holder.set_goal(1.0, DECODE)
         if lost:
-            steward.fail(1.1, send, sent=True)
+            holder.fail(1.1, send, sent=True)
         else:
-            steward.answer(1.1, send, "running")
-        steward.term = 3
-        steward.book.on_lease_lost(2.0)
-        said = steward.run(2.0, steward.book.on_lease_gained(2.0, 3, previous))
-        assert (TermsClosed((2,)) in said) == (not lost)
-        assert steward.book.blocking_terms() == (previous if lost else ())
+            holder.answer(1.1, send, "running")
+        holder.term = 3
+        holder.controller.on_lease_lost(2.0)
+        effects = holder.run(2.0, holder.controller.on_lease_gained(2.0, 3, open_terms))
+        assert (TermsClosed((2,)) in effects) == (not lost)
+        assert holder.controller.blocking_terms() == (open_terms if lost else ())
 
 
 def test_platform_outage_means_no_new_orders():
-    steward = Steward(Store())
-    (write,) = steward.book.set_goal(1.0, "e", DECODE)
+    holder = LeaseHolder(Store())
+    (write,) = holder.controller.set_goal(1.0, "e", DECODE)
     for now_s in (2.0, 4.0, 6.0):
-        assert steward.book.handle(now_s, CallFailed(write.tag, sent=True)) == []
-        (write,) = steward.book.tick(now_s + 1.0)
+        assert holder.controller.handle(now_s, CallFailed(write.tag, sent=True)) == []
+        (write,) = holder.controller.tick(now_s + 1.0)
         assert isinstance(write, ReadObject)
 
 
-def test_lost_answer_to_the_intent_sends_one_order():
+def test_lost_response_to_the_intent_sends_one_order():
     for took_effect in (True, False):
         store = Store()
-        steward = Steward(store)
-        (write,) = steward.book.set_goal(1.0, "e", DECODE)
+        holder = LeaseHolder(store)
+        (write,) = holder.controller.set_goal(1.0, "e", DECODE)
         if took_effect:
             store.apply(write)
-        steward.book.handle(1.1, CallFailed(write.tag, sent=True))
-        (send,) = steward.tick(2.0)
+        holder.controller.handle(1.1, CallFailed(write.tag, sent=True))
+        (send,) = holder.tick(2.0)
         assert send.order_id == store.objects["e"].value["order_id"]
         late = store.apply(write)
         assert isinstance(late, WriteConflict)
 
 
-def test_lost_answer_to_the_outcome_is_settled_by_reading():
+def test_lost_response_to_the_outcome_is_resolved_by_reading():
     for took_effect in (True, False):
         store = Store()
-        steward = Steward(store)
-        (send,) = steward.want(1.0, DECODE)
+        holder = LeaseHolder(store)
+        (send,) = holder.set_goal(1.0, DECODE)
         event = OrderReply("e", send.order_id, "done", send.tag)
-        (write,) = steward.book.handle(1.1, event)
+        (write,) = holder.controller.handle(1.1, event)
         if took_effect:
             store.apply(write)
-        steward.book.handle(1.2, CallFailed(write.tag, sent=True))
-        (settled,) = steward.tick(2.0)
+        holder.controller.handle(1.2, CallFailed(write.tag, sent=True))
+        (settled,) = holder.tick(2.0)
         assert settled.state == "done"
         assert store.state() == "done"
 
 
-def test_late_and_foreign_answers_are_ignored():
-    steward = Steward(Store())
-    (send,) = steward.want(1.0, DECODE)
+def test_late_and_unrelated_replies_are_ignored():
+    holder = LeaseHolder(Store())
+    (send,) = holder.set_goal(1.0, DECODE)
     late = OrderReply("e", send.order_id, "done", "send:e:other:1")
-    assert steward.book.handle(1.1, late) == []
-    steward.answer(1.2, send, "running")
-    assert steward.answer(1.3, send, "done") == []
-    steward.book.set_engines(1.4, [])
-    assert steward.tick(5.0) == []
+    assert holder.controller.handle(1.1, late) == []
+    holder.answer(1.2, send, "running")
+    assert holder.answer(1.3, send, "done") == []
+    holder.controller.set_engines(1.4, [])
+    assert holder.tick(5.0) == []
--- a/libs/coordination/tests/test_orders_machine.py
+++ b/libs/coordination/tests/test_orders_machine.py
@@ -1,4 +1,4 @@
-"""Stewards, leases and engines of every kind under random faults, in virtual time."""
+"""State machine test: leases and orders under random faults, in simulated time."""
 
 import itertools
 
@@ -34,7 +34,8 @@
 
 DURATION_S = 6.0
 TIMEOUT_S = 2.0
-# Deployment: does its engine refuse old numbers, and when does it close connections.
+# Per deployment: whether its engine refuses old fencing numbers, and after how many
+# seconds it closes connections.
 DEPLOYMENTS = {
     "checks": ("refuses", TIMEOUT_S),
     "ignores": ("ignores", TIMEOUT_S),
@@ -42,15 +43,16 @@
     "ignores unlimited": ("ignores", None),
 }
 GOALS = [{"role": "prefill"}, {"role": "decode"}, {"drain": True}]
-# What the program does in a turn; a rule leaves some out to stop it in between.
+# Steps of the host program in one turn. A rule omits some to stop the program between
+# two steps.
 STEPS = ["tick", "platform", "hear", "open", "check", "write", "arrive", "reply"]
 PICK = st.integers(0, 1000)
 DEPLOYMENT = st.sampled_from(sorted(DEPLOYMENTS))
 
 
 TURN_S = 0.4
-# How an order's way is interrupted, in `order_from_the_past`.
-PAST = {
+# Values of the parameters of `order_from_the_past`.
+DELAYED_ORDER_VALUES = {
     "name": sorted(DEPLOYMENTS),
     "stop": STEPS[STEPS.index("open") :],
     "cut_s": [0.0, 4.8, 5.2, 5.6, 6.0],
@@ -79,18 +81,18 @@
 
 
 class Engine:
-    """An engine that knows its orders by id until it crashes."""
+    """An engine that keeps its orders by id until it crashes."""
 
     def __init__(self, fencing, timeout_s):
         self.refuses = fencing == "refuses"
         self.timeout_s = timeout_s
         self.epoch = 0
-        # The newest authority that began to act here, and the order it acted with.
-        self.acted = (0, "")
+        # The newest term that sent an order to this engine, and that order's id.
+        self.newest_sender = (0, "")
         self.start()
 
     def start(self):
-        self.highest_term = 0
+        self.max_term = 0
         self.states = {}
         self.newest = ""
 
@@ -102,22 +104,24 @@
         return self.states.get(self.newest) == "running"
 
     def take(self, send):
-        """Take an order and say what the engine answers."""
+        """Handle an order; return the state that the engine replies."""
         if send.order_id in self.states:
             return self.states[send.order_id]
-        if self.refuses and send.term < self.highest_term:
+        if self.refuses and send.term < self.max_term:
             return "stale_term"
-        self.highest_term = max(self.highest_term, send.term)
-        assert not self.is_running(), f"{send} meets the running {self.newest}"
-        is_same_order = send.order_id == self.acted[1]
-        assert send.term >= self.acted[0] or is_same_order, f"{send} without authority"
+        self.max_term = max(self.max_term, send.term)
+        assert not self.is_running(), f"{send} arrived while {self.newest} is running"
+        is_same_order = send.order_id == self.newest_sender[1]
+        assert send.term >= self.newest_sender[0] or is_same_order, (
+            f"{send} of a former term took effect"
+        )
         self.states[send.order_id] = "running"
         self.newest = send.order_id
         return "accepted"
 
 
 class Process:
-    """One incarnation of a host's program with its leases and orders."""
+    """One incarnation of a host with its leases and order controllers."""
 
     def __init__(self, host, number, offset_s):
         self.host = host
@@ -127,7 +131,7 @@
         self.alive = True
         nonces = itertools.count()
         self.leases = {}
-        self.books = {}
+        self.controllers = {}
         for name, (fencing, timeout_s) in DEPLOYMENTS.items():
             lease = Lease(
                 name,
@@ -137,17 +141,17 @@
                 lambda: f"{self.incarnation}:{next(nonces)}",
             )
             self.leases[name] = lease
-            self.books[name] = OrderController(
+            self.controllers[name] = OrderController(
                 name, fencing, timeout_s, lease.term_validity
             )
-            self.books[name].set_engines(0.0, [name])
+            self.controllers[name].set_engines(0.0, [name])
 
     def runs(self):
         return self.alive and not self.paused
 
 
 class Call:
-    """A call to the platform or to an engine, somewhere on its way."""
+    """A call to the platform or to an engine that is in flight."""
 
     def __init__(self, process, machine, deployment, effect):
         self.process = process
@@ -156,19 +160,21 @@
         self.effect = effect
         self.stage = "new"
         self.answer = None
-        # The caller gave up on it, though it may still arrive.
-        self.orphan = False
+        # The caller has abandoned the call, but it may still arrive.
+        self.is_abandoned = False
         self.opened_s = 0.0
         self.epoch = 0
 
 
 class OrdersMachine(RuleBasedStateMachine):
-    """Invariants: one believer a lease, no clash at an engine, none without authority.
+    """Invariants: one holder per lease, no concurrent orders, none of a former term.
 
-    Story of the faults: stewards are paused anywhere, also between the check of the
-    clock and the write; answers of the platform and of engines are lost or late;
-    processes die with calls on their way; leases lapse, are taken over and released;
-    engines crash in the middle of an order; a patient operator confirms the dead.
+    Faults: hosts are paused at any point, also between the check of the clock and the
+    write; responses of the platform and of engines are lost or late; processes die
+    with calls in flight; leases expire, are taken over and released; engines crash
+    during an order; an operator confirms dead hosts.
+
+    The names of the rules determine the order of the derandomized examples.
     """
 
     @initialize(offsets=st.lists(st.integers(-500, 500), min_size=2, max_size=2))
@@ -179,11 +185,11 @@
         self.numbers = itertools.count(1)
         self.offsets = offsets
         self.calls = []
-        self.settled = []
+        self.ended_orders = []
         self.processes = []
         self.processes = [self.spawn(0), self.spawn(1)]
-        self.everyone = list(self.processes)
-        self.work_for([0, 1], 1)
+        self.all_processes = list(self.processes)
+        self.run_for([0, 1], 1)
 
     def spawn(self, place):
         host = "ab"[place]
@@ -193,35 +199,35 @@
     def local_s(self, process):
         return self.now_s + process.offset_s
 
-    # What the program around the machines does
+    # The host program that runs the state machines
 
-    def carry_out(self, process, machine, deployment, effects):
-        lease, book = process.leases[deployment], process.books[deployment]
+    def perform(self, process, machine, deployment, effects):
+        lease, controller = process.leases[deployment], process.controllers[deployment]
         now_s = self.local_s(process)
         for effect in effects:
             if isinstance(effect, LeaseGained):
-                more = book.on_lease_gained(now_s, effect.term, effect.open_terms)
-                self.carry_out(process, book, deployment, more)
+                more = controller.on_lease_gained(now_s, effect.term, effect.open_terms)
+                self.perform(process, controller, deployment, more)
             elif isinstance(effect, LeaseLost):
-                book.on_lease_lost(now_s)
+                controller.on_lease_lost(now_s)
             elif isinstance(effect, TermsClosed):
                 lease.close_terms(effect.terms)
             elif isinstance(effect, OrderEnded):
-                self.settled.append(effect)
-                self.engines[deployment].acted = (book.term, "")
+                self.ended_orders.append(effect)
+                self.engines[deployment].newest_sender = (controller.term, "")
             else:
-                self.note_action(effect)
+                self.record_sender(effect)
                 self.calls.append(Call(process, machine, deployment, effect))
 
-    def note_action(self, effect):
+    def record_sender(self, effect):
         if not isinstance(effect, SendOrder):
             return
         engine = self.engines[effect.engine]
-        if effect.term >= engine.acted[0]:
-            engine.acted = (effect.term, effect.order_id)
+        if effect.term >= engine.newest_sender[0]:
+            engine.newest_sender = (effect.term, effect.order_id)
 
     def handle(self, call, event):
-        if call.orphan:
+        if call.is_abandoned:
             self.calls.remove(call)
             return
         if not call.process.runs():
@@ -229,13 +235,13 @@
         self.calls.remove(call)
         now_s = self.local_s(call.process)
         effects = call.machine.handle(now_s, event)
-        self.carry_out(call.process, call.machine, call.deployment, effects)
+        self.perform(call.process, call.machine, call.deployment, effects)
 
     def is_order(self, call):
         return isinstance(call.effect, SendOrder | QueryOrder)
 
     def step(self, call, allowed):
-        """Move one call on by a stage, if that is allowed."""
+        """Advance one call by a stage, if the step is allowed."""
         if not self.is_order(call):
             return self.step_platform(call, allowed)
         if call.stage == "new" and "open" in allowed and call.process.runs():
@@ -258,7 +264,7 @@
         if call.stage == "new" and "platform" in allowed:
             call.answer = self.platform.apply(call.effect)
             call.stage = "arrived"
-            if call.orphan:
+            if call.is_abandoned:
                 self.calls.remove(call)
         elif call.stage == "arrived" and "hear" in allowed:
             self.handle(call, call.answer)
@@ -271,10 +277,10 @@
         return OrderCallFailed(effect.engine, order_id, sent, effect.tag)
 
     def arrive(self, call):
-        """Let what was written reach the engine, if its connection still stands."""
+        """Deliver a written order or query to the engine if its connection is open."""
         engine, effect = self.engines[call.deployment], call.effect
         call.stage = "arrived"
-        if call.orphan:
+        if call.is_abandoned:
             self.calls.remove(call)
         limit_s = engine.timeout_s
         is_closed = limit_s is not None and self.now_s >= call.opened_s + limit_s
@@ -291,26 +297,30 @@
     def tick(self, process):
         now_s = self.local_s(process)
         for name in DEPLOYMENTS:
-            for machine in (process.leases[name], process.books[name]):
-                self.carry_out(process, machine, name, machine.tick(now_s))
+            for machine in (process.leases[name], process.controllers[name]):
+                self.perform(process, machine, name, machine.tick(now_s))
 
     def turn(self, process, allowed):
-        """Let one process and the calls on their way do what is allowed."""
+        """Run the allowed steps of one process and its calls in flight."""
         if "tick" in allowed and process.runs():
             self.tick(process)
         for _ in range(4):
             for call in list(self.calls):
-                if call in self.calls and call.process is process and not call.orphan:
+                if (
+                    call in self.calls
+                    and call.process is process
+                    and not call.is_abandoned
+                ):
                     self.step(call, allowed)
 
-    def work_for(self, places, seconds):
+    def run_for(self, places, seconds):
         for _ in range(round(seconds / TURN_S)):
             self.now_s += TURN_S
             for place in places:
                 self.turn(self.processes[place], STEPS)
 
-    def steward_place(self, name):
-        """Return the place of the running steward, or None."""
+    def holder_index(self, name):
+        """Return the index of the running lease holder, or None."""
         for place, process in enumerate(self.processes):
             held = process.leases[name].is_held(self.local_s(process))
             if process.runs() and held:
@@ -319,9 +329,9 @@
 
     def order(self, place, name, goal):
         process = self.processes[place]
-        book = process.books[name]
-        effects = book.set_goal(self.local_s(process), name, goal)
-        self.carry_out(process, book, name, effects)
+        controller = process.controllers[name]
+        effects = controller.set_goal(self.local_s(process), name, goal)
+        self.perform(process, controller, name, effects)
 
     # Rules
 
@@ -339,27 +349,29 @@
 
     @rule(seconds=st.integers(1, 20), busy=st.sets(st.integers(0, 1)))
     def pass_time_working(self, seconds, busy):
-        self.work_for(sorted(busy), seconds)
+        self.run_for(sorted(busy), seconds)
 
     @rule(name=DEPLOYMENT, goal=st.sampled_from(GOALS), works=st.booleans())
     def want(self, name, goal, works):
-        place = self.steward_place(name)
+        place = self.holder_index(name)
         if place is None:
             return
         self.order(place, name, goal)
         if works:
             self.turn(self.processes[place], STEPS)
 
-    @rule(**{key: st.sampled_from(values) for key, values in PAST.items()})
+    @rule(
+        **{key: st.sampled_from(values) for key, values in DELAYED_ORDER_VALUES.items()}
+    )
     def order_from_the_past(self, name, stop, cut_s, then, seconds, gives_up):
-        """A steward's order stops somewhere on its way, and goes on much later.
+        """An order is delayed at some step and continues after a takeover.
 
-        Its intent stands; the steward loses the platform for a while, gets as far as
-        the stage before `stop` and is paused. Another host takes over, and may hand
-        over to a third; or nobody does, and the steward comes back by itself. The
-        next steward orders another goal, and the first order's way goes on.
+        The holder has written the intent, can't reach the platform for a while,
+        proceeds to the step before `stop` and is paused. Another host takes over and
+        may hand over to a third one, or no host does and the first one regains the
+        lease. The next holder sends another order, then the first order continues.
         """
-        place = self.steward_place(name)
+        place = self.holder_index(name)
         if place is None:
             return
         process, other = self.processes[place], 1 - place
@@ -368,21 +380,21 @@
         self.turn(process, ["tick", "platform", "hear"])
         for _ in range(round(cut_s / TURN_S)):
             self.turn(process, ["tick"])
-            self.work_for([other], TURN_S)
+            self.run_for([other], TURN_S)
         self.turn(process, STEPS[STEPS.index("open") : STEPS.index(stop)])
         if gives_up:
             for call in [call for call in self.calls if call.process is process]:
-                self.give_up_call(call)
+                self.abandon_call(call)
         process.paused = True
         if then == "alone":
             self.now_s += DURATION_S + 1.0
             process.paused = False
-            self.work_for([place], 2)
+            self.run_for([place], 2)
         else:
-            self.work_for([other], seconds)
+            self.run_for([other], seconds)
         if then == "hand over":
             self.restart_planned(other)
-        successor = self.steward_place(name)
+        successor = self.holder_index(name)
         if successor is not None:
             for _ in range(3):
                 self.turn(self.processes[successor], STEPS)
@@ -394,27 +406,29 @@
 
     @rule(place=st.integers(0, 1), seconds=st.integers(1, 5), after=st.integers(0, 5))
     def slow_answers(self, place, seconds, after):
-        """The platform applies what a host asks, and answers seconds later."""
+        """The platform applies a host's calls and responds seconds later."""
         self.turn(self.processes[place], ["tick", "platform"])
-        self.work_for([1 - place], seconds)
+        self.run_for([1 - place], seconds)
         self.turn(self.processes[place], ["hear"])
-        self.work_for([1 - place], after)
+        self.run_for([1 - place], after)
 
     @rule(place=st.integers(0, 1))
     def restart_planned(self, place):
-        """The host releases its leases, which needs no order on its way, and ends."""
+        """The host, without orders in flight, releases its leases and exits."""
         process = self.processes[place]
-        books = process.books.values()
-        if not process.runs() or any(book.has_orders_in_flight() for book in books):
+        controllers = process.controllers.values()
+        if not process.runs() or any(
+            controller.has_orders_in_flight() for controller in controllers
+        ):
             return
         for name, lease in process.leases.items():
             effects = lease.release(self.local_s(process))
-            self.carry_out(process, lease, name, effects)
+            self.perform(process, lease, name, effects)
         for _ in range(3):
             self.now_s += TURN_S
             self.turn(process, ["tick", "platform", "hear"])
         self.kill(place)
-        self.work_for([place], 3)
+        self.run_for([place], 3)
 
     @rule(place=st.integers(0, 1))
     def pause(self, place):
@@ -436,24 +450,24 @@
             and call.stage != "written"
         ]
         for call in self.calls:
-            call.orphan = call.orphan or call.process is process
+            call.is_abandoned = call.is_abandoned or call.process is process
         self.calls = [call for call in self.calls if call not in unwritten]
         self.processes[place] = self.spawn(place)
-        self.everyone.append(self.processes[place])
+        self.all_processes.append(self.processes[place])
 
     @precondition(lambda self: self.calls)
     @rule(pick=PICK)
     def give_up(self, pick):
-        """The caller gets an error at once; the call itself goes on its way."""
-        self.give_up_call(self.calls[pick % len(self.calls)])
+        """The caller gets an error immediately; the call stays in flight."""
+        self.abandon_call(self.calls[pick % len(self.calls)])
 
-    def give_up_call(self, call):
-        if call.orphan or not call.process.runs() or call.stage == "arrived":
+    def abandon_call(self, call):
+        if call.is_abandoned or not call.process.runs() or call.stage == "arrived":
             return
         sent = not self.is_order(call) or call.stage == "written"
         self.handle(call, self.failed(call, sent))
         if sent:
-            call.orphan = True
+            call.is_abandoned = True
             self.calls.append(call)
 
     @precondition(lambda self: self.calls)
@@ -466,12 +480,12 @@
     @precondition(lambda self: self.calls)
     @rule(pick=PICK)
     def move_one(self, pick):
-        """Move any call on by a stage, also one that its caller gave up."""
+        """Advance any call by a stage, also an abandoned one."""
         self.step(self.calls[pick % len(self.calls)], STEPS)
 
     @rule()
     def land_late_calls(self):
-        for call in [call for call in self.calls if call.orphan]:
+        for call in [call for call in self.calls if call.is_abandoned]:
             self.step(call, ["platform", "arrive"])
 
     @rule(name=DEPLOYMENT, state=st.sampled_from(["done", "failed"]))
@@ -485,10 +499,10 @@
         for engines in ([], [name]):
             for process in self.processes:
                 if process.runs():
-                    book = process.books[name]
-                    effects = book.set_engines(self.local_s(process), engines)
-                    self.carry_out(process, book, name, effects)
-            self.work_for([0, 1], seconds)
+                    controller = process.controllers[name]
+                    effects = controller.set_engines(self.local_s(process), engines)
+                    self.perform(process, controller, name, effects)
+            self.run_for([0, 1], seconds)
 
     @rule(name=DEPLOYMENT)
     def crash_engine(self, name):
@@ -496,58 +510,60 @@
 
     @rule(name=DEPLOYMENT)
     def confirm_dead(self, name):
-        """An operator confirms what is true: dead, and nothing of it on its way."""
-        alive = {process.incarnation for process in self.everyone if process.alive}
+        """An operator confirms hosts as dead that have no order in flight."""
+        alive = {process.incarnation for process in self.all_processes if process.alive}
         for call in self.calls:
             if self.is_order(call):
                 alive.add(call.process.incarnation)
         for process in self.processes:
-            book = process.books[name]
-            for term in book.blocking_terms():
+            controller = process.controllers[name]
+            for term in controller.blocking_terms():
                 if term.incarnation in alive or not process.runs():
                     continue
-                effects = book.confirm_holder_dead(self.local_s(process), term.term)
-                self.carry_out(process, book, name, effects)
+                effects = controller.confirm_holder_dead(
+                    self.local_s(process), term.term
+                )
+                self.perform(process, controller, name, effects)
 
-    # What must hold
+    # Invariants
 
     @invariant()
     def one_process_believes_in_a_lease(self):
         for name in DEPLOYMENTS:
-            believers = [
+            holders = [
                 process.incarnation
-                for process in self.everyone
+                for process in self.all_processes
                 if process.alive and process.leases[name].is_held(self.local_s(process))
             ]
-            assert len(believers) <= 1, f"{name}: {believers}"
+            assert len(holders) <= 1, f"{name}: {holders}"
 
     def teardown(self):
-        """Once the faults stop, every engine settles and takes a new order."""
+        """After all faults end, every engine completes a new order."""
         if not hasattr(self, "processes"):
             return
         self.land_late_calls()
         for process in self.processes:
             process.paused = False
-        self.run_until_quiet()
-        # The unlimited engines wait for the operator, who restarts the hosts that
-        # hold orders back and confirms the former ones dead.
-        held_back = {
+        self.run_until_idle()
+        # Engines without a timeout need the operator, who restarts the hosts of
+        # blocking terms and confirms the former incarnations as dead.
+        blocking_incarnations = {
             term.incarnation
             for process in self.processes
-            for term in process.books["ignores unlimited"].blocking_terms()
+            for term in process.controllers["ignores unlimited"].blocking_terms()
         }
         for place, process in enumerate(list(self.processes)):
-            if process.incarnation in held_back:
+            if process.incarnation in blocking_incarnations:
                 self.kill(place)
-        self.run_until_quiet()
+        self.run_until_idle()
         self.land_late_calls()
         for name in DEPLOYMENTS:
             self.confirm_dead(name)
-        self.run_until_quiet()
+        self.run_until_idle()
         for name in DEPLOYMENTS:
-            self.check_settled(name)
+            self.check_completes_order(name)
 
-    def run_until_quiet(self):
+    def run_until_idle(self):
         for _ in range(40):
             self.now_s += 0.5
             for process in self.processes:
@@ -556,22 +572,24 @@
                 if engine.is_running():
                     engine.states[engine.newest] = "done"
 
-    def check_settled(self, name):
-        (steward,) = [
+    def check_completes_order(self, name):
+        (holder,) = [
             process
             for process in self.processes
             if process.leases[name].is_held(self.local_s(process))
         ]
-        book = steward.books[name]
-        assert book.blocking_terms() == (), f"{name} waits for {book.blocking_terms()}"
-        assert book.busy_engines() == set(), f"{name} has an unfinished order"
-        before = len(self.settled)
-        effects = book.set_goal(self.local_s(steward), name, {"adapter": "last"})
-        self.carry_out(steward, book, name, effects)
-        self.run_until_quiet()
-        (settled,) = self.settled[before:]
-        assert (settled.state, settled.goal) == ("done", {"adapter": "last"})
-        assert self.engines[name].newest == settled.order_id
+        controller = holder.controllers[name]
+        assert controller.blocking_terms() == (), (
+            f"{name} is blocked by {controller.blocking_terms()}"
+        )
+        assert controller.busy_engines() == set(), f"{name} has an unfinished order"
+        before = len(self.ended_orders)
+        effects = controller.set_goal(self.local_s(holder), name, {"adapter": "last"})
+        self.perform(holder, controller, name, effects)
+        self.run_until_idle()
+        (ended_order,) = self.ended_orders[before:]
+        assert (ended_order.state, ended_order.goal) == ("done", {"adapter": "last"})
+        assert self.engines[name].newest == ended_order.order_id
 
 
 TestOrdersMachine = OrdersMachine.TestCase
@@ -584,14 +602,14 @@
 )
 
 
-def test_orders_from_the_past_never_clash():
-    """An engine changes its role at the word of a steward that was replaced.
+def test_delayed_orders_of_a_former_holder_never_take_effect():
+    """A delayed order of a former lease holder must not take effect.
 
-    The story of `OrdersMachine.order_from_the_past` in all its variants, of which
-    the machine's random walk comes across only some.
+    Runs `OrdersMachine.order_from_the_past` with all combinations of parameters, of
+    which the state machine's random runs cover only some.
     """
-    for variant in itertools.product(*PAST.values()):
+    for variant in itertools.product(*DELAYED_ORDER_VALUES.values()):
         machine = OrdersMachine()
         machine.begin([3, -7])
-        machine.order_from_the_past(**dict(zip(PAST, variant)))
+        machine.order_from_the_past(**dict(zip(DELAYED_ORDER_VALUES, variant)))
         machine.one_process_believes_in_a_lease()
--- a/libs/coordination/tests/test_sealing.py
+++ b/libs/coordination/tests/test_sealing.py
@@ -1,4 +1,4 @@
-"""Sealing a dead home's journal segment by segment."""
+"""`JournalSealer`: sealing a dead owner's journal segment by segment."""
 
 import pytest
 
@@ -15,7 +15,7 @@
 
 KEY = "gk1.home-1.0.0.01234567"
 ABSENT = "gk1.home-1.0.1.01234567"
-FLAGGED = "gu1.home-1.0.2.01234567"
+UNJOURNALED = "gu1.home-1.0.2.01234567"
 
 
 def make_segment(segment, keys, sealed=None):
@@ -30,10 +30,10 @@
 
 
 def test_each_segment_is_sealed_and_the_next_one_is_created_sealed():
-    """A home died, or sleeps just before it opens its next segment.
+    """An owner died, or was paused just before it opened its next segment.
 
-    A caller asks a survivor about a key. "Not run" would be false if the sleeping
-    home could still journal the key in a segment that nobody had sealed.
+    A caller asks another host about a key. "Not run" would be wrong if the paused
+    owner could still write the key to a segment that is not sealed.
     """
     sealer = JournalSealer("home-1", "host-2")
     [read] = sealer.start(0.0)
@@ -47,13 +47,13 @@
     assert write.if_version == 0 and write.value["sealed"] == "host-2"
     effects = sealer.handle(0.4, WriteDone(write.tag, 7))
     assert effects == [PeerJournalSealed("home-1", {KEY: "f"})]
-    outcomes = [sealer.outcome(key) for key in (KEY, ABSENT, FLAGGED)]
+    outcomes = [sealer.outcome(key) for key in (KEY, ABSENT, UNJOURNALED)]
     assert outcomes == ["unknown", "not_run", "unknown"]
     with pytest.raises(ValueError, match="key"):
         sealer.outcome("gk1.home-2.0.0.01234567")
 
 
-def test_a_home_that_appends_during_the_seal_is_read_again():
+def test_a_segment_that_is_written_during_the_seal_is_sealed_again():
     sealer = JournalSealer("home-1", "host-2")
     [read] = sealer.start(0.0)
     [write] = sealer.handle(
@@ -64,7 +64,7 @@
     assert write.if_version == 6 and write.value["keys"] == {KEY: "f"}
 
 
-def test_a_lost_answer_to_the_seal_is_read_again():
+def test_a_lost_response_to_the_seal_is_resolved_by_reading():
     sealer = JournalSealer("home-1", "host-2")
     [read] = sealer.start(0.0)
     [write] = sealer.handle(0.1, ReadDone(read.tag, None))
@@ -76,7 +76,7 @@
     assert sealer.handle(5.1, event) == [PeerJournalSealed("home-1", {})]
 
 
-def test_a_journal_that_its_home_sealed_ends_there():
+def test_a_journal_that_its_owner_sealed_ends_there():
     sealer = JournalSealer("home-1", "host-2")
     [read] = sealer.start(0.0)
     stored = StoredObject(5, make_segment(0, {KEY: "f"}, "home"))
