--- a/libs/entry/gypsumusher_entry/stream_exchange.py
+++ b/libs/entry/gypsumusher_entry/stream_exchange.py
@@ -1,24 +1,24 @@
 """Requests to engines: the prompt is read, tokens are made, events are passed on."""
 
 from gypsumusher_entry.errors import NoRetryError, OverloadedError
-from gypsumusher_entry.reading import learn_reading, read_prompt
-from gypsumusher_entry.sending import (
-    check_head,
-    may_run_again,
-    note_failure,
-    open_send,
-    silence_limit,
+from gypsumusher_entry.prefill import prefill_prompt, record_prefill
+from gypsumusher_entry.sending_to_endpoints import (
+    check_response_head,
+    may_send_again,
+    record_failure,
+    silence_timeout,
+    start_send,
 )
 from gypsumusher_http import CallError
-from gypsumusher_ports import Send
+from gypsumusher_ports import SendOptions
 from gypsumusher_routing import (
     HOPELESS,
     TIMELY,
     EventSplitter,
+    cache_transfer_s,
     choose_decode,
     choose_endpoint,
-    choose_reading,
-    transfer_s,
+    choose_prefill,
     urgency_of,
 )
 
@@ -74,7 +74,7 @@
         context.note_request(exchange.service)
         try:
             if self._is_generation():
-                self._prompt = await read_prompt(exchange, self._limits)
+                self._prompt = await prefill_prompt(exchange, self._limits)
             is_whole, error = await self._try_in_turn()
         except NoRetryError as withheld:
             is_whole, error = False, withheld
@@ -86,7 +86,7 @@
         exchange = self._exchange
         error = None
         for _ in range(MAX_SENDS):
-            if exchange.account.arrivals >= MAX_SENDS or not may_run_again(exchange):
+            if exchange.account.arrivals >= MAX_SENDS or not may_send_again(exchange):
                 break
             state, reading = self._choose()
             if state is None:
@@ -138,13 +138,13 @@
             return state, None
         decodes = [s for s in states if s.stage != "prefill"]
         fleet = fleet._replace(states=decodes)
-        reading = choose_reading(now_s, fleet, exchange.wish, context.draw)
+        reading = choose_prefill(now_s, fleet, exchange.wish, context.draw)
         if reading is None:
             return None, None
         if reading.lane == HOPELESS:
             if not exchange.may_have_run:
                 raise OverloadedError(
-                    reading.expected_s, exchange.first_event_limits.given_up_s
+                    reading.expected_s, exchange.first_event_limits.abandoned_s
                 )
             # It goes on after a broken try: nobody else would take it up.
             reading = reading._replace(lane=TIMELY)
@@ -154,11 +154,11 @@
         """Run the request at one engine; return the error that ended it, or None."""
         exchange, context = self._exchange, self._context
         prompt, self._prompt = self._prompt, None
-        send = Send(
+        send = SendOptions(
             state.record.endpoint_id,
             exchange.patience_s,
             urgency=urgency_of(
-                exchange.route.rank, TIMELY if reading is None else reading.lane
+                exchange.route.priority, TIMELY if reading is None else reading.lane
             ),
             kv_source=None if prompt is None else prompt.source,
             kv_fetch=None if reading is None else reading.fetch_address,
@@ -176,10 +176,10 @@
         if reading is not None:
             context.note_reading_begun()
         try:
-            answer = await open_send(exchange, state, send)
+            answer = await start_send(exchange, state, send)
             await self._pass_on(answer, run, wait)
         except CallError as error:
-            note_failure(exchange, state, error, kv_source=send.kv_source)
+            record_failure(exchange, state, error, kv_source=send.kv_source)
             if prompt is not None and not error.may_have_run:
                 # Not taken: another engine may still have it, or it is to be freed.
                 self._prompt = prompt if error.step == "connect" else None
@@ -204,7 +204,7 @@
         """
         exchange = self._exchange
         head = await self._head_in_time(answer, run)
-        check_head(exchange, run.state, head)
+        check_response_head(exchange, run.state, head)
         if not 200 <= head.status < 300:
             await self._pass_failure_on(answer, head, run.state.record.address)
             return
@@ -215,7 +215,7 @@
                 break
             now_s = self._context.clock()
             wait.due_s = now_s + NEXT_EVENT_S
-            run.state.on_answer(now_s)
+            run.state.on_answer_bytes(now_s)
             for event in splitter.feed(data):
                 self._pass_event_on(head, event, run)
             await exchange.reply.drain()
@@ -234,7 +234,7 @@
         expected_s = 0.0 if run.reading is None else run.reading.expected_s
         limit_s = max(LEAST_SILENCE_S, SILENCE_FACTOR * expected_s)
         try:
-            async with silence_limit(self._exchange, limit_s, self._exchange.left_s):
+            async with silence_timeout(self._exchange, limit_s, self._exchange.left_s):
                 return await answer.head()
         except TimeoutError as error:
             peer = run.state.record.address
@@ -274,15 +274,15 @@
         """Take in what the first event tells of the reading, or of the hand-over."""
         took_s = now_s - run.sent_s
         if run.prompt is not None:
-            moved_s = transfer_s(self._generation.prompt_tokens, self._limits)
-            self._context.learnt(self._exchange.service).on_hand_over(took_s, moved_s)
+            moved_s = cache_transfer_s(self._generation.prompt_tokens, self._limits)
+            self._context.learnt(self._exchange.service).on_handover(took_s, moved_s)
         elif run.reading is not None:
-            learn_reading(self._exchange, run.reading, took_s)
+            record_prefill(self._exchange, run.reading, took_s)
 
     def _allowed_gap_s(self):
         """Return how far apart the events may be for the stream to end in time."""
         exchange = self._exchange
-        limit_s = exchange.route.pause_limit_s or exchange.left_s
+        limit_s = exchange.route.max_event_gap_s or exchange.left_s
         expected = exchange.expected_events
         if expected is None:
             return limit_s
@@ -307,7 +307,7 @@
         self.state.own_running += 1
         if self.reading is not None:
             self._is_reading = True
-            self.state.begin_reading(self.reading.cost_s, self.reading.lane)
+            self.state.begin_prefill(self.reading.cost_s, self.reading.lane)
 
     def on_first_event(self, context, generation):
         """Note that the prompt is read, and is kept there now."""
@@ -324,4 +324,4 @@
     def _end_reading(self):
         if self._is_reading:
             self._is_reading = False
-            self.state.end_reading(self.reading.cost_s, self.reading.lane)
+            self.state.end_prefill(self.reading.cost_s, self.reading.lane)
