--- a/libs/coordination/gypsumusher_coordination/journal.py
+++ b/libs/coordination/gypsumusher_coordination/journal.py
@@ -49,7 +49,7 @@
 
 JOURNAL_KIND = "journals"
 # Value of ``sealed`` in a segment that its owner sealed.
-SEALED_BY_HOME = "home"
+SEALED_BY_OWNER = "home"
 
 # Quotes, colon, comma and space around one key and its fingerprint in JSON.
 _ENTRY_OVERHEAD_BYTES = 7
@@ -66,7 +66,7 @@
         and configuration. Claims that arrive between two writes share the next write.
     claim_timeout_s : float
         Time after which a claim that is not yet on the platform is refused. Shorter
-        than the time-out of callers, so that they receive a reliable "not run" and
+        than the timeout of callers, so that they receive a reliable "not run" and
         can send the request elsewhere.
     retention_s : float
         How long a finished key is kept in memory, and a closed segment on the
@@ -86,8 +86,8 @@
     max_waiting_claims : int
         Number of claims that may wait for the platform; further ones are refused.
     backoff_initial_s, backoff_max_s : float
-        Delay after the first failed call, which doubles up to the maximum. The maximum
-        bounds the delay; the backoff limits the load on a platform that recovers.
+        Delay after the first failed call, and the maximum up to which it doubles. The
+        backoff keeps the hosts from overloading a platform that recovers.
     """
 
     writes_per_s: float = 10.0
@@ -444,7 +444,7 @@
         if self._waiting:
             return [self._write_waiting(now_s)]
         if self._is_stopping and self._running_count == 0:
-            return [self._write(now_s, self._journaled_keys, SEALED_BY_HOME)]
+            return [self._write(now_s, self._journaled_keys, SEALED_BY_OWNER)]
         return []
 
     def _write_waiting(self, now_s):
@@ -546,7 +546,7 @@
             stored.value["writer"] == self._writer
             and self._confirmed_sequence < stored.value["sequence"] <= self._sequence
         )
-        is_sealed_by_other = stored.value["sealed"] not in (None, SEALED_BY_HOME)
+        is_sealed_by_other = stored.value["sealed"] not in (None, SEALED_BY_OWNER)
         if is_own_write and not is_sealed_by_other:
             return self._on_own_segment(stored)
         return self._fence()
--- a/libs/coordination/gypsumusher_coordination/sealing.py
+++ b/libs/coordination/gypsumusher_coordination/sealing.py
@@ -9,7 +9,7 @@
     WriteDone,
     WriteObject,
 )
-from gypsumusher_coordination.journal import JOURNAL_KIND, SEALED_BY_HOME
+from gypsumusher_coordination.journal import JOURNAL_KIND, SEALED_BY_OWNER
 from gypsumusher_coordination.keys import parse_key, segment_name
 
 # Sequence number of a segment that a sealer created. Owners number their writes from
@@ -43,7 +43,7 @@
     """
 
     def __init__(self, incarnation, sealing_host):
-        if sealing_host == SEALED_BY_HOME:
+        if sealing_host == SEALED_BY_OWNER:
             raise ValueError(f"sealing_host: {sealing_host!r} is reserved for owners")
         self.incarnation = incarnation
         self._sealing_host = sealing_host
@@ -176,7 +176,7 @@
     def _on_segment_sealed(self, value):
         self._keys.update(value["keys"])
         is_last = (
-            value["sealed"] == SEALED_BY_HOME or value["sequence"] == _SEALER_SEQUENCE
+            value["sealed"] == SEALED_BY_OWNER or value["sequence"] == _SEALER_SEQUENCE
         )
         if is_last:
             self._is_done = True
