--- a/libs/coordination/gypsumusher_coordination/claims.py
+++ b/libs/coordination/gypsumusher_coordination/claims.py
@@ -58,7 +58,7 @@
         self._incarnation = incarnation
         self._fingerprint = fingerprint
         self._nonce = nonce
-        self._wait_s = timeout_s
+        self._timeout_s = timeout_s
         self._deadline_s = None
         self._retry_at_s = None
         self._must_read = False
@@ -87,7 +87,7 @@
         """
         if self._deadline_s is not None:
             return []
-        self._deadline_s = now_s + self._wait_s
+        self._deadline_s = now_s + self._timeout_s
         return [self._create()]
 
     def tick(self, now_s):
--- a/libs/coordination/gypsumusher_coordination/membership.py
+++ b/libs/coordination/gypsumusher_coordination/membership.py
@@ -392,7 +392,7 @@
 
     def _phase_fraction(self, host):
         # Spreads the first probes over the interval. Hosts that start at the same time
-        # would otherwise probe each other in step permanently.
+        # would otherwise always probe each other simultaneously.
         text = f"{self._host}>{host}".encode()
         return hashlib.blake2b(text, digest_size=1).digest()[0] / 256
 
