--- a/libs/coordination/gypsumusher_coordination/journal.py
+++ b/libs/coordination/gypsumusher_coordination/journal.py
@@ -154,8 +154,8 @@
         self._is_stopping = False
         self._is_sealed = False
         self._is_fenced = False
-        # Retry jitter from 0.5 to 1, from a digest of the random incarnation. Hosts that
-        # lost the platform at the same time must not retry simultaneously.
+        # Retry jitter from 0.5 to 1, from a digest of the random incarnation. Hosts
+        # that lost the platform at the same time must not retry simultaneously.
         digest = hashlib.blake2b(incarnation.encode(), digest_size=1).digest()
         self._retry_jitter = 0.5 + digest[0] / 512
 
