--- a/libs/routing/gypsumusher_routing/cost_model.py
+++ b/libs/routing/gypsumusher_routing/cost_model.py
@@ -1,4 +1,4 @@
-"""What one host has learnt of a service's engines from their answers."""
+"""Prefill costs of a service's engines, estimated by one host from their answers."""
 
 from typing import NamedTuple
 
@@ -12,48 +12,50 @@
 
 __all__ = ["CostModel", "PrefillObservation"]
 
-# Only a prompt that met a short queue tells what reading costs: what other hosts sent
-# in between is known too late to be told from slowness. As a part of its own cost.
-LEARNT_QUEUE_PART = 0.25
-# An engine that is slower than others by this factor tells of itself, not of its stage.
-SLOW_PACE = 1.5
-# An engine that makes tokens reads at half the speed of one that doesn't: the first
-# guess of its costs.
-DECODE_FACTOR = 2.0
-# Part of the prompts that are to be read within what is expected, times the margin. One
-# that is let in and comes late is worth a third, and has taken the place of another.
-SURE_PART = 0.8
-# First guess of that margin, and its bounds.
-FIRST_MARGIN, LEAST_MARGIN, MOST_MARGIN = 1.3, 1.0, 4.0
-# A reading without an answer is given up after this many times the time that it is sure
-# to take, and not before the least one, in seconds. It runs nothing, so it may be asked
-# again.
-SILENCE_FACTOR = 3.0
-LEAST_SILENCE_S = 0.6
-# First guess of what a hand-over costs beside the transfer itself, in seconds, and
-# bounds of it: one more call, and the set-up of the transfer.
-FIRST_HAND_OVER_S, LEAST_HAND_OVER_S, MOST_HAND_OVER_S = 0.03, 0.001, 0.5
+# Longest queue, relative to a prompt's own cost, at which the prompt updates the cost
+# estimate. Behind a longer queue, slowness can't be told from load that other hosts
+# added and whose state updates came too late.
+MAX_QUEUE_SHARE = 0.25
+# An engine slower than the others by more than this factor updates the cost of its
+# stage by the time that an engine of usual speed would have taken.
+SLOW_FACTOR = 1.5
+# Initial cost of a prefill at a decode engine, relative to a prefill engine.
+DECODE_COST_FACTOR = 2.0
+# Share of the prompts to be prefilled within the expected time multiplied by the
+# margin. A prompt that is admitted and comes late is worth a third of one in time, and
+# has used the capacity of another.
+MARGIN_QUANTILE = 0.8
+# Initial value and bounds of the margin, as a factor on expected times.
+INITIAL_MARGIN, MIN_MARGIN, MAX_MARGIN = 1.3, 1.0, 4.0
+# A prefill without an answer times out after this multiple of its expected time with
+# margin, and not before the minimum. The prompt has not been run by then, so another
+# engine can be asked.
+TIMEOUT_FACTOR = 3.0
+MIN_TIMEOUT_S = 0.6
+# Initial value and bounds of the KV handover's overhead besides the transfer itself:
+# one more call and the setup of the transfer.
+INITIAL_HANDOVER_S, MIN_HANDOVER_S, MAX_HANDOVER_S = 0.03, 0.001, 0.5
 
 
 class PrefillObservation(NamedTuple):
-    """One prompt that was read.
+    """Measurement of one finished prefill.
 
     Attributes
     ----------
     stage : {"prefill", "decode"}
         Stage of the engine.
     lane : str
-        Its lane.
+        Priority class of the prompt.
     new_tokens, cached_tokens : int
-        Tokens that were to be read, and those before them that were kept.
+        Tokens to be prefilled, and tokens before them that were cached.
     fetch_s : float
-        Expected time to fetch parts first, in seconds.
+        Expected time to fetch cached parts first, in seconds.
     cost_s : float
-        Expected cost at an idle engine, in seconds.
+        Expected duration at an idle engine, in seconds.
     queue_s : float
-        Expected work before it, in seconds.
+        Expected duration of the prefills ahead of it, in seconds.
     took_s : float
-        What it took, in seconds.
+        Measured duration, in seconds.
     """
 
     stage: str
@@ -67,78 +69,90 @@
 
 
 class CostModel:
-    """Costs of reading, their margins, and what a hand-over takes, for one service.
+    """Estimated prefill costs, their margins and the handover time of one service.
 
     Parameters
     ----------
     policy : Policy
-        Which mechanisms decide.
+        Switches of the routing mechanisms.
     """
 
     def __init__(self, policy: Policy = ALL_ON):
         self._policy = policy
-        self._costs = {}
+        self._prefill_costs = {}
         self._margins = {}
-        self._event_tokens = {}
-        self._hand_over = RunningQuantile(
-            SURE_PART, FIRST_HAND_OVER_S, LEAST_HAND_OVER_S, MOST_HAND_OVER_S
+        self._tokens_per_event = {}
+        self._handover = RunningQuantile(
+            MARGIN_QUANTILE, INITIAL_HANDOVER_S, MIN_HANDOVER_S, MAX_HANDOVER_S
         )
 
     def prefill_cost(self, stage: str) -> PrefillCostModel:
-        """Return the cost of reading at engines of a stage."""
-        if stage not in self._costs:
-            is_apart = stage == "prefill"
-            self._costs[stage] = PrefillCostModel(1.0 if is_apart else DECODE_FACTOR)
-        return self._costs[stage]
+        """Return the prefill cost at engines of a stage."""
+        if stage not in self._prefill_costs:
+            is_prefill = stage == "prefill"
+            self._prefill_costs[stage] = PrefillCostModel(
+                1.0 if is_prefill else DECODE_COST_FACTOR
+            )
+        return self._prefill_costs[stage]
 
     def margin(self, stage: str) -> float:
-        """Return by what factor an expectation is to be taken longer to be sure."""
+        """Return the safety factor for expected prefill times at a stage."""
         return self._margin(stage).value
 
     def prefill_timeout_s(self, stage: str, expected_s: float) -> float:
-        """Return after what time a reading's engine counts as silent, in seconds.
+        """Return after how many seconds without an answer a prefill times out.
 
-        Failure guarded against: an engine that reads what other hosts have sent is
-        taken for silent, its work on the prompt is thrown away, and a second engine
-        begins it anew. How late readings come without silence shows in the margin.
+        The timeout grows with the margin, which reflects how late answers come from
+        engines that work. With a shorter one, an engine that is busy with prompts of
+        other hosts counts as silent: its work on the prompt is lost, and a second
+        engine starts over.
         """
-        return max(LEAST_SILENCE_S, SILENCE_FACTOR * self.margin(stage) * expected_s)
+        return max(MIN_TIMEOUT_S, TIMEOUT_FACTOR * self.margin(stage) * expected_s)
 
     def handover_s(self) -> float:
-        """Return what a hand-over takes beside the transfer, in seconds."""
-        return self._hand_over.value
+        """Return the overhead of a KV handover besides the transfer, in seconds."""
+        return self._handover.value
 
     def tokens_per_event(self, route: str) -> TokensPerEvent:
-        """Return how many tokens of an estimate an event of a route stands for."""
-        return self._event_tokens.setdefault(route, TokensPerEvent())
+        """Return the estimate of tokens per stream event for a route."""
+        return self._tokens_per_event.setdefault(route, TokensPerEvent())
 
-    def on_prefill(self, now_s: float, pace, seen: PrefillObservation) -> None:
-        """Take in a prompt that was read at an engine, with the engine's pace.
+    def on_prefill(self, now_s: float, slowdown, seen: PrefillObservation) -> None:
+        """Update the estimates, and the engine's slowdown, from a finished prefill.
 
-        Only timely prompts tell of the engine's pace and of the error: the others wait
-        for whatever timely ones come after them.
+        Only timely prompts update the slowdown and the margin. Other prompts wait for
+        timely ones that arrive after them, so their duration says little about either.
         """
-        factor = pace.factor(now_s)
-        read_s = max(0.0, seen.took_s - seen.fetch_s)
-        is_alone = seen.queue_s <= LEARNT_QUEUE_PART * seen.cost_s
-        if is_alone and self._policy.learnt_costs:
-            usual_s = read_s / factor if factor > SLOW_PACE else read_s
+        factor = slowdown.factor(now_s)
+        prefill_s = max(0.0, seen.took_s - seen.fetch_s)
+        had_short_queue = seen.queue_s <= MAX_QUEUE_SHARE * seen.cost_s
+        if had_short_queue and self._policy.learnt_costs:
+            usual_s = prefill_s / factor if factor > SLOW_FACTOR else prefill_s
             self.prefill_cost(seen.stage).learn(
                 seen.new_tokens, seen.cached_tokens, usual_s
             )
         if seen.lane != TIMELY:
             return
         expected_s = seen.cost_s + seen.queue_s
-        self._margin(seen.stage).learn(read_s / max(1e-3, expected_s * factor))
-        pace.learn(now_s, read_s, expected_s)
+        self._margin(seen.stage).learn(prefill_s / max(1e-3, expected_s * factor))
+        slowdown.learn(now_s, prefill_s, expected_s)
 
     def on_handover(self, took_s: float, transfer_s: float) -> None:
-        """Take in the time from a send to its first event, and the transfer's part."""
-        self._hand_over.learn(max(LEAST_HAND_OVER_S, took_s - transfer_s))
+        """Update the handover overhead.
+
+        Parameters
+        ----------
+        took_s : float
+            Time from the send to the first event, in seconds.
+        transfer_s : float
+            Expected duration of the KV transfer, in seconds.
+        """
+        self._handover.learn(max(MIN_HANDOVER_S, took_s - transfer_s))
 
     def _margin(self, stage):
+        """Return the running quantile behind the margin of a stage."""
         if stage not in self._margins:
             self._margins[stage] = RunningQuantile(
-                SURE_PART, FIRST_MARGIN, LEAST_MARGIN, MOST_MARGIN
+                MARGIN_QUANTILE, INITIAL_MARGIN, MIN_MARGIN, MAX_MARGIN
             )
         return self._margins[stage]
--- a/libs/routing/gypsumusher_routing/events.py
+++ b/libs/routing/gypsumusher_routing/events.py
@@ -1,27 +1,28 @@
-"""Boundaries of server-sent events, found without parsing what they carry."""
+"""Splits a stream of server-sent events without parsing their payload."""
 
 from typing import NamedTuple
 
 __all__ = ["DONE", "Event", "EventSplitter", "OversizedEvent"]
 
 DONE = b"[DONE]"
-# An engine's event carries one token or a few; a megabyte is no event.
+# An engine's event carries one token or a few, so one that exceeds this is malformed.
+# The limit bounds the buffer per stream.
 EVENT_BYTES_MAX = 1_048_576
 
 
 class OversizedEvent(Exception):
-    """An event grew past the limit without an end."""
+    """An event exceeded the size limit before its end."""
 
 
 class Event(NamedTuple):
-    """One whole server-sent event.
+    """One complete server-sent event.
 
     Attributes
     ----------
     raw : bytes
-        All its bytes with the blank line that ends it.
+        The event as received, with the blank line that ends it.
     event_id : int or None
-        Its ``id`` field.
+        Value of its ``id`` field.
     done : bool
         Whether it is the end marker.
     """
@@ -32,46 +33,45 @@
 
 
 class EventSplitter:
-    """Cuts a byte stream into whole events; a part of one is never handed out.
+    """Splits a byte stream into complete events; incomplete ones are held back.
 
-    A connection that breaks in the middle of an event leaves half a token behind.
-    Passing that half on and then resuming would garble the answer, so only whole
-    events leave here.
+    When a connection breaks in the middle of an event, the incomplete event must not
+    reach the caller: a resumed stream would continue after it and garble the answer.
     """
 
     def __init__(self):
-        self._tail = b""
+        self._incomplete = b""
 
     def feed(self, data):
-        """Return the events that are complete now.
+        """Return the events that are complete with the next bytes.
 
         Parameters
         ----------
         data : bytes
-            The next bytes from the engine.
+            Next bytes from the engine.
 
         Raises
         ------
         OversizedEvent
-            When an event exceeds the limit.
+            If an event exceeds the size limit.
         """
-        buffered = self._tail + data
+        buffered = self._incomplete + data
         events = []
         start = 0
         while True:
             end = buffered.find(b"\n\n", start)
             if end < 0:
                 break
-            events.append(_read_event(buffered[start : end + 2]))
+            events.append(_parse_event(buffered[start : end + 2]))
             start = end + 2
-        self._tail = buffered[start:]
-        if len(self._tail) > EVENT_BYTES_MAX:
-            raise OversizedEvent(f"an event has over {EVENT_BYTES_MAX} bytes")
+        self._incomplete = buffered[start:]
+        if len(self._incomplete) > EVENT_BYTES_MAX:
+            raise OversizedEvent(f"event exceeds {EVENT_BYTES_MAX} bytes")
         return events
 
 
-def _read_event(raw):
-    """Return the event that some bytes hold."""
+def _parse_event(raw):
+    """Return the event in some bytes, with its id and whether it is the end marker."""
     event_id = None
     done = False
     for line in raw.split(b"\n"):
--- a/libs/routing/gypsumusher_routing/health.py
+++ b/libs/routing/gypsumusher_routing/health.py
@@ -1,89 +1,91 @@
-"""How far an endpoint is trusted, from the answers of all hosts.
+"""Penalty of an endpoint for failed requests, as observed by all hosts.
 
-Made for an endpoint that looks idle because it fails what it is sent: the least busy
-choice would send it everything. Its health check may be good all the while, so only
-answers count.
+An endpoint that fails requests quickly looks idle, so a choice by load alone would send
+it all of them. Its health check may pass all the while, so only answers to requests
+count.
 """
 
 __all__ = ["Health"]
 
-# What one failure adds. An endpoint with a penalty of 1 is used only when no other is
-# left; three failures of different requests within seconds are hardly chance.
+# Penalty added by one failure, by reason. An endpoint at 1 or above is used only when
+# no other is available: three failures of different requests within seconds are
+# unlikely to be chance.
 FAILURE_PENALTIES = {
-    # It refused or didn't take a connection: nothing was lost, but it is down.
+    # The connection was refused or timed out: no request was lost, but it is down.
     "connect": 1.0,
-    # It broke off an answer. One in fifty does so under the users' usual faults.
+    # The answer broke off. One in fifty does so under the usual rate of faults.
     "broken": 0.5,
-    # It said nothing for far longer than its work takes: a request of a caller is lost
-    # with each try, so one is enough for a pause.
+    # No answer for far longer than the work takes. Each further try loses a caller's
+    # request, so one failure is enough.
     "silent": 1.0,
-    # Another one, asked later, answered sooner. Chance does that now and then.
+    # A hedged request was answered sooner elsewhere, which happens by chance too.
     "slow": 0.25,
-    # It answered with bytes that aren't its answer.
+    # The answer could not be decoded.
     "garbled": 0.3,
-    # It had no room. Others learn of it by the counts that the hosts share.
+    # The endpoint had no free slot. Other hosts see that from the shared load counts.
     "full": 0.25,
 }
-# Time in which a penalty falls to half, in seconds: endpoints come back after some
-# seconds, and a failing one is met again by a single request of some host.
+# Half-life of a penalty. Endpoints recover within seconds, and one that still fails
+# then costs a single request of some host.
 HALF_LIFE_S = 1.5
-# A penalty that keeps being earned grows up to this, for a pause of some seconds.
+# Upper bound of a penalty, so that an endpoint is tried again after some seconds.
 PENALTY_MAX = 6.0
-# Of the penalty, what an answer takes away.
+# Factor on the penalty for each complete answer.
 SUCCESS_FACTOR = 0.7
-# From this penalty on an endpoint is left out where there are others.
+# Penalty from which an endpoint is avoided while there are others.
 AVOIDED_FROM = 0.8
 
 
 class Health:
-    """The penalty of one endpoint, its own and that which peers report."""
+    """Penalty of one endpoint, from this host's own failures and those of its peers."""
 
     def __init__(self):
         self._penalty = 0.0
-        self._at_s = 0.0
+        self._updated_s = 0.0
         self._peers = {}
 
     def on_failure(self, now_s: float, reason: str) -> None:
-        """Note a failure; unknown reasons count as ``broken``."""
+        """Add the penalty of a failure; unknown reasons count as ``broken``."""
         added = FAILURE_PENALTIES.get(reason, FAILURE_PENALTIES["broken"])
         self._penalty = min(PENALTY_MAX, self.own_penalty(now_s) + added)
-        self._at_s = now_s
+        self._updated_s = now_s
 
     def on_success(self, now_s: float) -> None:
-        """Note a whole answer."""
+        """Reduce the penalty after a complete answer."""
         self._penalty = self.own_penalty(now_s) * SUCCESS_FACTOR
-        self._at_s = now_s
+        self._updated_s = now_s
 
     def on_peer_penalty(self, now_s: float, peer: str, penalty: float) -> None:
-        """Take in a peer's own penalty."""
+        """Store the penalty that a peer reports from its own requests."""
         if penalty <= 0.0:
             self.drop_peer(peer)
             return
         self._peers[peer] = (penalty, now_s)
 
     def drop_peer(self, peer: str) -> None:
-        """Note that a peer has nothing against it."""
+        """Remove the penalty reported by a peer."""
         self._peers.pop(peer, None)
 
     def own_penalty(self, now_s: float) -> float:
-        """Return what this host itself has seen, for its peers."""
+        """Return the current penalty from this host's own requests."""
         if not self._penalty:
             return 0.0
-        return _decayed(self._penalty, now_s - self._at_s)
+        return _decayed(self._penalty, now_s - self._updated_s)
 
     def penalty(self, now_s: float) -> float:
-        """Return the penalty now, of all hosts together."""
+        """Return the current penalty, summed over all hosts."""
         total = self.own_penalty(now_s)
-        for penalty, at_s in self._peers.values():
-            total += _decayed(penalty, now_s - at_s)
+        for penalty, received_s in self._peers.values():
+            total += _decayed(penalty, now_s - received_s)
         return min(PENALTY_MAX, total)
 
     def is_avoided(self, now_s: float) -> bool:
-        """Say whether it is left out while there are others."""
+        """Return whether the endpoint is avoided while there are others."""
         return self.penalty(now_s) >= AVOIDED_FROM
 
 
 def _decayed(penalty, age_s):
-    """Return what is left of a penalty; one that is spent is none."""
-    left = penalty * 0.5 ** (max(0.0, age_s) / HALF_LIFE_S)
-    return left if left > 0.02 else 0.0
+    """Return what is left of a penalty after some seconds."""
+    decayed = penalty * 0.5 ** (max(0.0, age_s) / HALF_LIFE_S)
+    # So that the value does not stay just above zero for long.
+    return decayed if decayed > 0.02 else 0.0
--- a/libs/routing/gypsumusher_routing/prefix_cache.py
+++ b/libs/routing/gypsumusher_routing/prefix_cache.py
@@ -1,87 +1,92 @@
-"""Which parts of prompts an engine is believed to keep."""
+"""Estimate of the prompt prefixes that an engine holds in its KV cache."""
 
 from collections import OrderedDict
 
 __all__ = ["PrefixCacheEstimate"]
 
-# Share of an engine's memory that is counted on for kept parts: what runs needs memory
-# too, and an engine gives up the least recently used parts for it.
-KEPT_SHARE = 0.8
+# Share of an engine's KV memory that is assumed to hold cached prefixes: running
+# requests need memory too, and the engine evicts the least recently used prefixes.
+CACHE_SHARE = 0.8
 
 
 class PrefixCacheEstimate:
-    """Estimate of one engine's cache from what has been sent there.
+    """Estimated content of one engine's prefix cache.
 
     Parameters
     ----------
     limit_tokens : float
-        Tokens that the engine's memory holds.
+        Number of tokens that fit into the engine's KV memory.
 
     Notes
     -----
-    Engines publish their cache late and with gaps, and asking costs them work. What a
-    host sends itself it knows at once; the least recently used parts leave first, as
-    at the engine.
+    The estimate is derived from the prompts that were sent to the engine. Engines
+    publish the content of their caches late and with gaps, and querying them costs
+    them work. The least recently used parts are evicted first, as at the engine.
     """
 
     def __init__(self, limit_tokens: float):
-        self._limit_tokens = limit_tokens * KEPT_SHARE
-        self._kept = OrderedDict()
-        self._coming_s = {}
+        self._limit_tokens = limit_tokens * CACHE_SHARE
+        self._tokens_by_part = OrderedDict()
+        self._pending_until_s = {}
         self._tokens = 0
 
     def __len__(self):
-        return len(self._kept)
+        return len(self._tokens_by_part)
 
     def add_parts(self, parts) -> None:
-        """Note that the engine has read, or got, the parts of a prompt."""
+        """Record that the engine has prefilled or fetched the parts of a prompt."""
         self.add_chain([part.part_id, part.tokens] for part in parts)
 
     def add_chain(self, chain) -> None:
-        """Note parts given as pairs of id and tokens, in their order."""
-        for key, tokens in chain:
-            if key in self._kept:
-                self._kept.move_to_end(key)
+        """Record parts given as pairs of id and tokens, in prompt order."""
+        for part_id, tokens in chain:
+            if part_id in self._tokens_by_part:
+                self._tokens_by_part.move_to_end(part_id)
                 continue
-            self._kept[key] = tokens
+            self._tokens_by_part[part_id] = tokens
             self._tokens += tokens
-        while self._tokens > self._limit_tokens and self._kept:
-            _, tokens = self._kept.popitem(last=False)
+        while self._tokens > self._limit_tokens and self._tokens_by_part:
+            _, tokens = self._tokens_by_part.popitem(last=False)
             self._tokens -= tokens
 
     def add_pending(self, chain, until_s: float) -> None:
-        """Note parts that the engine is reading now, and until when that may take.
+        """Record parts that the engine is prefilling, and when they are due.
 
-        A second prompt with the same parts finds them there when its turn comes, if it
-        is sent to the same engine; elsewhere they would be read a second time.
+        A second prompt with the same parts finds them cached when its turn comes, if
+        it is sent to the same engine. Any other engine would prefill them again.
         """
-        for key, _ in chain:
-            self._coming_s[key] = max(until_s, self._coming_s.get(key, 0.0))
+        for part_id, _ in chain:
+            self._pending_until_s[part_id] = max(
+                until_s, self._pending_until_s.get(part_id, 0.0)
+            )
 
     def drop_expired(self, now_s: float) -> None:
-        """Forget the parts that should have come by now."""
-        self._coming_s = {
-            key: until_s for key, until_s in self._coming_s.items() if until_s > now_s
+        """Drop pending parts that should have been prefilled by now."""
+        self._pending_until_s = {
+            part_id: until_s
+            for part_id, until_s in self._pending_until_s.items()
+            if until_s > now_s
         }
 
-    def cached_tokens(self, parts, coming_after_s=None) -> int:
-        """Return how many tokens at the start of a prompt the engine keeps.
+    def cached_tokens(self, parts, pending_after_s=None) -> int:
+        """Return how many tokens at the start of a prompt are cached.
 
-        A part is of use only if all parts before it are kept too.
+        A cached part can be reused only if all parts before it are cached too.
 
         Parameters
         ----------
         parts : sequence of PromptPart
-            The prompt's parts.
-        coming_after_s : float or None
-            The present time, when parts that are being read count too.
+            The parts of the prompt.
+        pending_after_s : float or None
+            Current time in seconds, to count parts that are being prefilled as
+            cached; None to leave them out.
         """
         tokens = 0
         for part in parts:
-            if part.part_id not in self._kept:
-                if coming_after_s is None:
+            if part.part_id not in self._tokens_by_part:
+                if pending_after_s is None:
                     break
-                if self._coming_s.get(part.part_id, 0.0) <= coming_after_s:
+                if self._pending_until_s.get(part.part_id, 0.0) <= pending_after_s:
                     break
             tokens += part.tokens
         return tokens
--- a/libs/routing/gypsumusher_routing/routes.py
+++ b/libs/routing/gypsumusher_routing/routes.py
@@ -1,4 +1,4 @@
-"""Which route a request takes, and which service of it."""
+"""Route lookup, and the choice among the services of a route."""
 
 from gypsumusher_ports import Configuration, Route
 
@@ -6,7 +6,7 @@
 
 
 class RouteTable:
-    """The routes of one configuration, by host name, the longest prefix first.
+    """Routes of one configuration by host name, longest path prefix first.
 
     Parameters
     ----------
@@ -22,14 +22,14 @@
             routes.sort(key=lambda route: -len(route.path_prefix))
 
     def find(self, host: str, target: str) -> Route | None:
-        """Return the route of a request, or None when none takes it.
+        """Return the route that matches a request, or None.
 
         Parameters
         ----------
         host : str
             Host name, in lower case.
         target : str
-            Path as sent; a query behind it doesn't count.
+            Request target as sent; its query is ignored.
         """
         path = target.partition("?")[0]
         for route in self._by_host.get(host, ()):
@@ -39,20 +39,20 @@
 
 
 def pick_service(route: Route, draw) -> str:
-    """Return the service for one request of a route.
+    """Return a service of a route, drawn at random by weight.
 
     Parameters
     ----------
     route : Route
         The route.
     draw : callable
-        Returns a number from 0 up to 1.
+        Returns a random number in [0, 1).
     """
     if len(route.shares) == 1:
         return route.shares[0].service
-    left = draw() * sum(share.weight for share in route.shares)
+    remaining = draw() * sum(share.weight for share in route.shares)
     for share in route.shares:
-        left -= share.weight
-        if left < 0:
+        remaining -= share.weight
+        if remaining < 0:
             return share.service
     return route.shares[-1].service
--- a/libs/routing/tests/test_small_decisions.py
+++ b/libs/routing/tests/test_small_decisions.py
@@ -295,7 +295,7 @@
     for parts in prompts:
         table.add_parts(parts)
         assert table._tokens <= 800
-        assert table._tokens == sum(table._kept.values())
+        assert table._tokens == sum(table._tokens_by_part.values())
     kept = table.cached_tokens(asked)
     starts = [sum(part.tokens for part in asked[:end]) for end in range(5)]
     assert kept in starts
