--- a/libs/routing/gypsumusher_routing/active_hosts.py
+++ b/libs/routing/gypsumusher_routing/active_hosts.py
@@ -1,11 +1,11 @@
-"""Which hosts callers are sent to, and which of them watch the store.
-
-Made for many small hosts before one fleet of engines. Sixty hosts that each see a
-sixtieth of the load know little of what the engines have under way and keep, and open
-connections and watches sixty times over; and the weakest of them, with a link of a few
-Mbit/s, are as likely to be picked as the strongest. So callers are sent to a part of
-the hosts, the strong ones first, spread over the zones. The others stay ready: they
-serve whoever comes, and take a place as soon as a host falls silent.
+"""Choice of the active hosts, which receive callers, and of those that watch the store.
+
+For many small hosts in front of the same engines. If sixty hosts each served a sixtieth
+of the load, each would know little about the engines' load and caches, all would open
+connections and watches of their own, and the slowest hosts, with links of a few Mbit/s,
+would receive as many callers as the others. So callers are directed to a subset of the
+hosts: those with the most capacity first, spread over the zones. The other hosts stay
+ready: they serve callers that reach them, and replace an active host that falls silent.
 """
 
 import zlib
@@ -14,75 +14,81 @@
 
 __all__ = ["WATCHERS", "active_host_count", "choose_active_hosts", "choose_watchers"]
 
-# At least so many are active, where there are so many: on seven and eight hosts four of
-# them served 0.013 more of the worth than all, which is within what two runs differ by.
+# Minimum number of active hosts, where there are as many. With seven and eight hosts,
+# four active ones served 0.013 more of the possible score than all hosts did, which is
+# within the difference between two runs.
 ACTIVE_MIN = 4
-# Part of the hosts that is active where there are more: at the two-year size 55 hosts
-# with 135 requests a second each.
-ACTIVE_PART = 1 / 6
-# A host of at least this part of the strongest one's capacity is strong.
-STRONG_PART = 0.5
-# The strong ones take the callers alone when they are at least this part of those that
-# would be active: each then carries the requests of three.
-STRONG_ENOUGH_PART = 1 / 3
-# Hosts that watch the store for all. Each watch is a call that is paid for and counts
-# against the store's rate; three are of three zones, and the next hosts replace them.
+# Share of the hosts that is active in larger deployments: at the size planned for two
+# years ahead, 55 hosts with 135 requests a second each.
+ACTIVE_SHARE = 1 / 6
+# Minimum capacity of a strong host, relative to the strongest one.
+STRONG_CAPACITY_SHARE = 0.5
+# Share of the candidates that the strong hosts must make up to receive all callers. At
+# this share each of them carries the requests of three hosts.
+MIN_STRONG_SHARE = 1 / 3
+# Number of hosts that watch the store for all others. Each watch is a paid call that
+# counts against the store's rate limit. The first three active hosts are of three
+# zones, and the next ones replace those that fail.
 WATCHERS = 3
 
 
 def active_host_count(hosts_count: int) -> int:
-    """Return how many of so many hosts callers are sent to, where all are alike."""
-    return min(hosts_count, max(ACTIVE_MIN, round(hosts_count * ACTIVE_PART)))
+    """Return the number of active hosts among hosts of equal capacity."""
+    return min(hosts_count, max(ACTIVE_MIN, round(hosts_count * ACTIVE_SHARE)))
 
 
 def choose_active_hosts(
     hosts: list[HostStatus], hosts_count: int = 0
 ) -> list[HostStatus]:
-    """Return the hosts that callers are sent to, in an order that all hosts agree on.
+    """Return the active hosts, in an order that is the same on all hosts.
 
-    Failure guarded against: most hosts hear of the active ones alone. A part of those
-    is a part of a part: of two hundred hosts callers were sent to five.
+    The total number of hosts is passed separately because most hosts hear only from
+    the active ones. A share of those alone would be a share of a share, and left five
+    active hosts out of two hundred.
 
     Parameters
     ----------
     hosts : list of HostStatus
-        The live hosts that take callers, as far as this host hears of them.
+        Live hosts that accept callers, as known to this host.
     hosts_count : int
-        Number of all hosts that there are, as far as it is known to be larger.
+        Number of all hosts, if known to be larger than the list.
     """
     count = active_host_count(max(hosts_count, len(hosts)))
     by_zone = {}
     for host in hosts:
         by_zone.setdefault(host.zone, []).append(host)
     for zone_hosts in by_zone.values():
-        zone_hosts.sort(key=_order)
+        zone_hosts.sort(key=_sort_key)
     chosen = []
-    for place in range(len(hosts)):
+    for index in range(len(hosts)):
         for zone in sorted(by_zone):
-            if place < len(by_zone[zone]):
-                chosen.append(by_zone[zone][place])
+            if index < len(by_zone[zone]):
+                chosen.append(by_zone[zone][index])
         if len(chosen) >= count:
             break
     return _without_weak(chosen)
 
 
 def _without_weak(chosen):
-    """Leave the weak hosts out where there are strong ones in some number.
+    """Return the strong hosts if there are enough of them, otherwise all.
 
-    Each host more tells all others what it sends, knows less of the load itself, and
-    opens its own connections; one with a quarter of the strength doesn't pay for that.
+    Each additional active host sends its load to all others, knows less about the load
+    itself, and opens connections of its own. A host with a quarter of the capacity is
+    not worth that.
     """
     strongest = max((host.capacity for host in chosen), default=0.0)
-    strong = [host for host in chosen if host.capacity >= STRONG_PART * strongest]
-    is_enough = len(strong) >= max(ACTIVE_MIN, STRONG_ENOUGH_PART * len(chosen))
+    strong = [
+        host for host in chosen if host.capacity >= STRONG_CAPACITY_SHARE * strongest
+    ]
+    is_enough = len(strong) >= max(ACTIVE_MIN, MIN_STRONG_SHARE * len(chosen))
     return strong if is_enough else chosen
 
 
 def choose_watchers(active: list[HostStatus]) -> list[HostStatus]:
-    """Return those of the active hosts that watch the store."""
+    """Return the active hosts that watch the store for all others."""
     return active[:WATCHERS]
 
 
-def _order(host):
-    """Return the place of a host in its zone: the strong first, else by its name."""
+def _sort_key(host):
+    """Return a key that sorts by capacity, highest first, then by a hash of the name."""
     return (-host.capacity, zlib.crc32(host.name.encode()))
--- a/libs/routing/gypsumusher_routing/estimates.py
+++ b/libs/routing/gypsumusher_routing/estimates.py
@@ -1,219 +1,236 @@
-"""Estimates that answers teach: what a reading costs, how far off that is, and pauses.
+"""Online estimates from answers: prefill costs, slowdown factors and quantiles.
 
-Nothing here knows a machine. Each estimate begins with a careful guess, follows the
-answers of some seconds, and forgets: engines turn slow, models and mixes change.
+No estimate assumes a particular machine. Each starts from a conservative initial value,
+follows the most recent answers and forgets older ones, because engines slow down and
+models and workloads change.
 """
 
 import math
 
 __all__ = ["PrefillCostModel", "RunningQuantile", "Slowdown", "TokensPerEvent"]
 
-# First guess: a part for each prompt, for each thousand tokens of it, and for each
-# million pairs of its tokens, in seconds. It is that of a slow machine, so that a new
-# deployment starts careful; some ten answers replace it.
-FIRST_COSTS_S = (0.03, 0.02, 0.0006)
-# Answers after which the costs are no guess any more.
-KNOWN_AFTER = 10
-# Weight that an answer keeps when the next one comes. Some two hundred answers count,
-# which a host sees in five to forty seconds.
-KEPT_WEIGHT = 0.995
-# How far an answer's time strays by itself: a time, in seconds, and a part of what is
-# expected.
-NOISE_S, NOISE_PART = 0.002, 0.2
-# An answer counts as if it strayed by no more than so many times that. One that took
-# longer met work that this host didn't know of, or parts that were gone: it says little
-# of what reading costs, which is what the quickest answers show.
-SLOWER_NOISES, FASTER_NOISES = 1.0, 3.0
-# So many answers in a row that stray further, to the same side, are no outliers: the
-# engines or the model have changed, and the past says nothing any more.
-CHANGED_AFTER = 6
-# Shortest time that is expected of any reading, in seconds.
-LEAST_COST_S = 0.001
+# Initial costs per prompt, per thousand tokens and per million token pairs. They are
+# those of a slow machine, so that a new deployment starts conservatively; about ten
+# answers replace them.
+INITIAL_COSTS_S = (0.03, 0.02, 0.0006)
+# Number of answers from which the costs are no longer treated as a guess.
+MIN_ANSWERS = 10
+# Weight that earlier answers keep with each new one. About two hundred answers count,
+# which a host sees within five to forty seconds.
+FORGETTING_FACTOR = 0.995
+# Standard deviation of one answer's duration: a constant, and a share of the expected
+# duration.
+NOISE_S, NOISE_SHARE = 0.002, 0.2
+# Errors are clipped to these multiples of the standard deviation, for answers slower
+# and faster than expected. A slower answer met work that this host did not know of, or
+# evicted cache entries; the fastest answers show what a prefill costs. The second one
+# is also the bound beyond which an answer is an outlier.
+SLOW_CLIP_SIGMAS, FAST_CLIP_SIGMAS = 1.0, 3.0
+# Consecutive outliers to the same side after which the engines or the model are taken
+# to have changed, and the estimate starts to learn anew.
+RESET_AFTER_OUTLIERS = 6
+# Lower bound of the expected duration of a prefill.
+MIN_COST_S = 0.001
 
 
 class PrefillCostModel:
-    """What engines of one stage take to read a prompt, in seconds.
+    """Duration of a prefill at an idle engine of one stage.
 
-    Least squares over the answers of late, with three parts: one a prompt, one a token,
-    and one a pair of tokens, for attention.
+    Recursive least squares over recent answers, with three coefficients: per prompt,
+    per token, and per pair of tokens for attention.
 
     Parameters
     ----------
     factor : float
-        First guess of the costs, as a multiple of the usual one.
+        Initial costs, as a multiple of the default ones.
     """
 
     def __init__(self, factor: float = 1.0):
-        self._first_s = [factor * cost_s for cost_s in FIRST_COSTS_S]
-        self._costs_s = list(self._first_s)
-        # Covariance of the three parts, in units of the noise.
-        self._spread = _first_spread(self._first_s)
-        self._strays = 0
+        self._initial_s = [factor * cost_s for cost_s in INITIAL_COSTS_S]
+        self._costs_s = list(self._initial_s)
+        # Covariance of the three coefficients.
+        self._covariance = _initial_covariance(self._initial_s)
+        # Consecutive outliers; positive for slow ones, negative for fast ones.
+        self._outliers = 0
         self._answers = 0
 
     @property
     def is_known(self) -> bool:
-        """Whether answers have told of it; before that it is a guess."""
-        return self._answers >= KNOWN_AFTER
+        """Whether enough answers have replaced the initial costs."""
+        return self._answers >= MIN_ANSWERS
 
     def expected_s(self, new_tokens: float, cached_tokens: float) -> float:
-        """Return what reading is expected to take at an idle engine.
+        """Return the expected duration at an idle engine, in seconds.
 
         Parameters
         ----------
         new_tokens, cached_tokens : float
-            Tokens of the prompt that are read, and those before them that are kept.
+            Tokens to be prefilled, and tokens before them that are cached.
         """
-        parts = _parts(new_tokens, cached_tokens)
-        expected_s = sum(p * c for p, c in zip(parts, self._costs_s, strict=True))
-        return max(LEAST_COST_S, expected_s)
+        features = _features(new_tokens, cached_tokens)
+        expected_s = sum(x * c for x, c in zip(features, self._costs_s, strict=True))
+        return max(MIN_COST_S, expected_s)
 
     def learn(self, new_tokens: float, cached_tokens: float, took_s: float) -> None:
-        """Take in a reading at an engine that did nothing else, in seconds."""
+        """Update the costs from a prefill at an otherwise idle engine.
+
+        Parameters
+        ----------
+        new_tokens, cached_tokens : float
+            Tokens that were prefilled, and tokens before them that were cached.
+        took_s : float
+            Measured duration, in seconds.
+        """
         self._answers += 1
-        parts = _parts(new_tokens, cached_tokens)
+        features = _features(new_tokens, cached_tokens)
         expected_s = self.expected_s(new_tokens, cached_tokens)
-        noise_s = NOISE_S + NOISE_PART * expected_s
+        noise_s = NOISE_S + NOISE_SHARE * expected_s
         gains = [
-            sum(row[place] * parts[place] for place in range(3)) for row in self._spread
+            sum(row[index] * features[index] for index in range(3))
+            for row in self._covariance
         ]
-        variance = sum(p * g for p, g in zip(parts, gains, strict=True))
+        variance = sum(x * g for x, g in zip(features, gains, strict=True))
         total = variance + noise_s * noise_s
-        stray_s = math.sqrt(total)
+        sigma_s = math.sqrt(total)
         error_s = took_s - expected_s
-        if self._is_changed(error_s, FASTER_NOISES * stray_s):
-            self._spread = _first_spread(self._first_s)
+        if self._is_changed(error_s, FAST_CLIP_SIGMAS * sigma_s):
+            self._covariance = _initial_covariance(self._initial_s)
             return
-        least_s, most_s = -FASTER_NOISES * stray_s, SLOWER_NOISES * stray_s
-        error_s = max(least_s, min(most_s, error_s))
-        for place in range(3):
-            self._costs_s[place] += gains[place] / total * error_s
-        self._shrink(gains, total)
+        min_s, max_s = -FAST_CLIP_SIGMAS * sigma_s, SLOW_CLIP_SIGMAS * sigma_s
+        error_s = max(min_s, min(max_s, error_s))
+        for index in range(3):
+            self._costs_s[index] += gains[index] / total * error_s
+        self._update_covariance(gains, total)
 
     def _is_changed(self, error_s, bound_s):
-        """Count answers that stray to one side; say whether they are too many."""
+        """Count consecutive outliers to one side; return whether there are too many."""
         if abs(error_s) <= bound_s:
-            self._strays = 0
+            self._outliers = 0
             return False
-        is_on = self._strays * error_s >= 0
-        self._strays = (self._strays if is_on else 0) + (1 if error_s > 0 else -1)
-        if abs(self._strays) < CHANGED_AFTER:
+        is_same_side = self._outliers * error_s >= 0
+        self._outliers = (self._outliers if is_same_side else 0) + (
+            1 if error_s > 0 else -1
+        )
+        if abs(self._outliers) < RESET_AFTER_OUTLIERS:
             return False
-        self._strays = 0
+        self._outliers = 0
         return True
 
-    def _shrink(self, gains, total):
-        """Take what was learnt out of the spread, and let the past fade."""
+    def _update_covariance(self, gains, total):
+        """Reduce the covariance by what an answer told, and discount the past."""
         for row in range(3):
             for column in range(3):
-                learnt = gains[row] * gains[column] / total
-                self._spread[row][column] -= learnt
-                self._spread[row][column] /= KEPT_WEIGHT
-        for place in range(3):
-            # Without new prompts of some size the past would fade to nothing known.
-            excess = self._spread[place][place] / self._first_s[place] ** 2
+                explained = gains[row] * gains[column] / total
+                self._covariance[row][column] -= explained
+                self._covariance[row][column] /= FORGETTING_FACTOR
+        for index in range(3):
+            # Without new prompts of some size, discounting would raise the covariance
+            # without bound; it stays below its initial value.
+            excess = self._covariance[index][index] / self._initial_s[index] ** 2
             if excess <= 1.0:
                 continue
             for other in range(3):
-                self._spread[place][other] /= math.sqrt(excess)
-                self._spread[other][place] /= math.sqrt(excess)
+                self._covariance[index][other] /= math.sqrt(excess)
+                self._covariance[other][index] /= math.sqrt(excess)
 
 
-def _first_spread(costs_s):
-    """Return the spread of a first guess: each part may be off by itself."""
-    spread = [[0.0] * 3 for _ in range(3)]
-    for place, cost_s in enumerate(costs_s):
-        spread[place][place] = cost_s * cost_s
-    return spread
+def _initial_covariance(costs_s):
+    """Return the covariance of initial costs that may each be off by their own size."""
+    covariance = [[0.0] * 3 for _ in range(3)]
+    for index, cost_s in enumerate(costs_s):
+        covariance[index][index] = cost_s * cost_s
+    return covariance
 
 
-def _parts(new_tokens, kept_tokens):
-    """Return the prompt, its thousands of tokens, and its millions of pairs."""
-    pairs = new_tokens * (kept_tokens + new_tokens / 2.0)
+def _features(new_tokens, cached_tokens):
+    """Return 1, the thousands of new tokens, and the millions of token pairs."""
+    pairs = new_tokens * (cached_tokens + new_tokens / 2.0)
     return (1.0, new_tokens / 1e3, pairs / 1e6)
 
 
-# Weight of one answer in an engine's pace, and the bounds of a single one.
-PACE_WEIGHT = 0.2
-PACE_MIN, PACE_MAX = 0.8, 8.0
-# Without answers a pace returns half way to that of the others in this time, in
-# seconds: an engine that was slow gets no work, and would stay slow for ever.
-PACE_HALF_LIFE_S = 4.0
+# Weight of one answer in an engine's slowdown factor, and the bounds of its ratio of
+# measured to expected duration.
+SLOWDOWN_WEIGHT = 0.2
+RATIO_MIN, RATIO_MAX = 0.8, 8.0
+# Half-life of a slowdown without answers. A slow engine gets no work, so without decay
+# it would count as slow for ever.
+SLOWDOWN_HALF_LIFE_S = 4.0
 
 
 class Slowdown:
-    """How many times as long one engine takes as others of its stage."""
+    """Duration of one engine's prefills relative to other engines of its stage."""
 
     def __init__(self):
-        self._log = 0.0
-        self._at_s = 0.0
+        self._log_factor = 0.0
+        self._updated_s = 0.0
 
     def factor(self, now_s: float) -> float:
-        """Return the factor now."""
-        return math.exp(self._faded(now_s))
+        """Return the current factor; 1 for an engine of usual speed."""
+        return math.exp(self._decayed(now_s))
 
     def learn(self, now_s: float, took_s: float, expected_s: float) -> None:
-        """Take in how long an answer took, and what was expected, in seconds."""
-        ratio = took_s / max(LEAST_COST_S, expected_s)
-        ratio = min(PACE_MAX, max(PACE_MIN, ratio))
-        faded = self._faded(now_s)
-        self._log = faded + PACE_WEIGHT * (math.log(ratio) - faded)
-        self._at_s = now_s
+        """Update the factor from a measured and an expected duration, in seconds."""
+        ratio = took_s / max(MIN_COST_S, expected_s)
+        ratio = min(RATIO_MAX, max(RATIO_MIN, ratio))
+        decayed = self._decayed(now_s)
+        self._log_factor = decayed + SLOWDOWN_WEIGHT * (math.log(ratio) - decayed)
+        self._updated_s = now_s
 
-    def _faded(self, now_s):
-        age_s = max(0.0, now_s - self._at_s)
-        return self._log * 0.5 ** (age_s / PACE_HALF_LIFE_S)
+    def _decayed(self, now_s):
+        """Return the logarithm of the factor, decayed since the last answer."""
+        age_s = max(0.0, now_s - self._updated_s)
+        return self._log_factor * 0.5 ** (age_s / SLOWDOWN_HALF_LIFE_S)
 
 
-# By how much one value moves a quantile, as a part of it: fifty values follow a change
-# by a factor of three.
+# Relative change of a quantile by one value: fifty values follow a change by a factor
+# of three.
 QUANTILE_STEP = 0.05
 
 
 class RunningQuantile:
-    """A value that a part of all values stays below, for values above zero.
+    """Running estimate of a quantile of positive values.
 
     Parameters
     ----------
-    part : float
-        The part, from 0 to 1.
-    first : float
-        First guess.
-    least, most : float
-        Bounds of it.
+    share : float
+        Share of the values that are below the quantile, from 0 to 1.
+    initial : float
+        Initial estimate.
+    lower, upper : float
+        Bounds of the estimate.
     """
 
-    def __init__(self, part: float, first: float, least: float, most: float):
-        self.value = first
-        self._part = part
-        self._least = least
-        self._most = most
+    def __init__(self, share: float, initial: float, lower: float, upper: float):
+        self.value = initial
+        self._share = share
+        self._lower = lower
+        self._upper = upper
 
     def learn(self, value: float) -> None:
-        """Take in a value."""
+        """Update the estimate with a value."""
         if value > self.value:
-            moved = self.value * math.exp(QUANTILE_STEP * self._part)
+            moved = self.value * math.exp(QUANTILE_STEP * self._share)
         else:
-            moved = self.value * math.exp(-QUANTILE_STEP * (1.0 - self._part))
-        self.value = min(self._most, max(self._least, moved))
+            moved = self.value * math.exp(-QUANTILE_STEP * (1.0 - self._share))
+        self.value = min(self._upper, max(self._lower, moved))
 
 
 class TokensPerEvent:
-    """How many tokens of callers' estimates one event of a stream stands for.
+    """Ratio of the output tokens that callers estimate to the events of a stream.
 
-    Guarded against: an event may hold one token or fifty, and counted as tokens a
-    stream of a hundred events looks as if it would never end in time.
+    An event may hold one token or fifty. If events were counted as tokens, a stream of
+    a hundred events would look as if it could not end in time.
     """
 
     def __init__(self):
         self._median = None
 
     def expected_events(self, tokens: float) -> float | None:
-        """Return how many events an answer of so many tokens has, if that is known."""
+        """Return the expected number of events for some tokens; None if unknown."""
         return None if self._median is None else tokens / self._median.value
 
     def learn(self, tokens: float, events: int) -> None:
-        """Take in a stream that ended whole, with the caller's estimate of it."""
+        """Update the ratio from a complete stream and the caller's token estimate."""
         if self._median is None:
             self._median = RunningQuantile(0.5, tokens / events, 1e-3, 1e6)
         self._median.learn(tokens / events)
--- a/libs/routing/gypsumusher_routing/gossip_rate.py
+++ b/libs/routing/gypsumusher_routing/gossip_rate.py
@@ -1,19 +1,18 @@
-"""How often a host may tell its peers of its loads, by what its link carries.
+"""Rate limit for gossip about changed loads, relative to the host's bandwidth.
 
-Made for hosts with weak links under full load. Every load that changes is news to a
-dozen active hosts, twenty times a second; on a link of 5 Mbit/s that takes a third of
-what it carries. All that waits behind it comes late: answers, the configuration,
-word of endpoints that have left.
+For hosts with slow links under full load. Each changed load is sent to a dozen active
+hosts, twenty times a second, which takes a third of a link of 5 Mbit/s. Answers,
+configurations and updates about endpoints that have left are then delayed behind it.
 """
 
 __all__ = ["GossipRateLimiter"]
 
-# Part of a link that messages of changed loads may take.
-LINK_PART = 0.05
+# Share of the link's bandwidth that messages about changed loads may use.
+LINK_SHARE = 0.05
 
 
 class GossipRateLimiter:
-    """A part of a host's link, as a queue that is emptied at that part of its rate.
+    """Limits gossip to a share of a host's link; unused bandwidth is not saved up.
 
     Parameters
     ----------
@@ -22,14 +21,14 @@
     """
 
     def __init__(self, link_mbps: float):
-        self._bytes_per_s = LINK_PART * link_mbps * 1e6 / 8.0
-        self._free_s = float("-inf")
+        self._bytes_per_s = LINK_SHARE * link_mbps * 1e6 / 8.0
+        self._free_at_s = float("-inf")
 
     def may_send(self, now_s: float) -> bool:
-        """Say whether the part has carried all that was sent."""
-        return now_s >= self._free_s
+        """Return whether the share has carried everything sent so far."""
+        return now_s >= self._free_at_s
 
     def on_sent(self, now_s: float, size_bytes: int) -> None:
-        """Note what was sent, in bytes."""
-        took_s = size_bytes / self._bytes_per_s
-        self._free_s = max(self._free_s, now_s) + took_s
+        """Account for sent messages of a total size in bytes."""
+        duration_s = size_bytes / self._bytes_per_s
+        self._free_at_s = max(self._free_at_s, now_s) + duration_s
--- a/libs/routing/gypsumusher_routing/service_choice.py
+++ b/libs/routing/gypsumusher_routing/service_choice.py
@@ -1,13 +1,13 @@
-"""Which endpoint of a plain service gets a request."""
+"""Choice of an endpoint for a request to a service that is no model engine."""
 
 from gypsumusher_routing.endpoint_state import EndpointState
 
 __all__ = ["choose_endpoint"]
 
-# What a hop to another zone counts against a slot in use, as a part of all slots: it
-# decides between endpoints that are about equally busy.
+# Cost of an endpoint in another zone, as a share of its slots in use. It decides
+# between endpoints of about equal load.
 OTHER_ZONE_LOAD = 0.1
-# An endpoint that has just started is slow; it counts as that much busier.
+# Cost of an endpoint that is still warming up, as a share of its slots in use.
 WARMUP_LOAD = 0.5
 
 
@@ -18,25 +18,25 @@
     zone: str,
     draw,
 ) -> EndpointState | None:
-    """Return the endpoint for a request, or None when there is none.
+    """Return the least loaded endpoint for a request, or None if there is none.
 
     Parameters
     ----------
     now_s : float
-        The present time, in seconds.
+        Current time, in seconds.
     states : list of EndpointState
-        Endpoints of the service that may get work.
+        Endpoints of the service that may get new requests.
     tried : set of str
-        Ids of those that the request has been sent to.
+        Ids of endpoints that the request was already sent to; they are left out.
     zone : str
-        This host's zone.
+        Zone of this host.
     draw : callable
-        Returns a number from 0 up to 1.
+        Returns a random number in [0, 1), which breaks ties.
     """
-    fresh = [state for state in states if state.record.endpoint_id not in tried]
-    sound = [state for state in fresh if not state.health.is_avoided(now_s)]
+    untried = [state for state in states if state.record.endpoint_id not in tried]
+    healthy = [state for state in untried if not state.health.is_avoided(now_s)]
     best, best_key = None, None
-    for state in sound or fresh:
+    for state in healthy or untried:
         record = state.record
         load = state.load(now_s).running / max(1, record.slots)
         if record.zone != zone:
