--- a/libs/routing/gypsumusher_routing/endpoint_state.py
+++ b/libs/routing/gypsumusher_routing/endpoint_state.py
@@ -1,4 +1,4 @@
-"""What one host knows of one endpoint: its entry, its load, its cache, its health."""
+"""State of one endpoint at one host: its entry, load, prefix cache and health."""
 
 from typing import NamedTuple
 
@@ -10,57 +10,58 @@
 
 __all__ = ["EndpointState", "Load", "OrderedStage"]
 
-# A peer's counts are used for this long after they were heard, in seconds; by then it
-# has sent anew, or it is gone with what it had running.
-PEER_LOAD_S = 2.0
-# Part of the events whose strain is below the engine's: the long streams are the ones
-# that end late, and theirs is above the average.
-STRAIN_PART = 0.8
-# First guess of the strain, and its bounds.
-FIRST_STRAIN, LEAST_STRAIN, MOST_STRAIN = 0.2, 0.05, 3.0
-# Nothing to be read, in any lane.
-NO_WORK = (0.0,) * len(LANES)
-# Memory of an engine whose service doesn't say, in tokens.
+# Age up to which a peer's load is used, in seconds. By then the peer has sent a newer
+# one, or it has failed and its requests with it.
+PEER_LOAD_TTL_S = 2.0
+# Share of the events whose gap ratio is below the engine's: long streams are the ones
+# that end late, and their gaps are longer than the average.
+GAP_RATIO_QUANTILE = 0.8
+# Initial value and bounds of the gap ratio.
+INITIAL_GAP_RATIO, MIN_GAP_RATIO, MAX_GAP_RATIO = 0.2, 0.05, 3.0
+# No pending prefill in any priority class.
+NO_PREFILL_S = (0.0,) * len(LANES)
+# KV memory of an engine whose service does not configure it.
 DEFAULT_KV_TOKENS = 400_000
 
 
 class Load(NamedTuple):
-    """Work that hosts have under way at an endpoint.
+    """Unfinished requests at an endpoint.
 
     Attributes
     ----------
     running : int
-        Requests sent and not ended.
+        Requests that were sent and have not ended.
     prefills : int
-        Those of them whose prompts are still to be read.
+        Those of them that are not prefilled yet.
     prefill_s_by_lane : tuple of float
-        What those prompts take to be read, by lane, in seconds at the usual pace of
-        the stage; the engine reads those of an earlier lane first.
+        Expected duration of these prefills at the usual speed of the stage, in
+        seconds, for each priority class in `LANES`. The engine prefills the prompts
+        of an earlier class first.
     """
 
     running: int
     prefills: int = 0
-    prefill_s_by_lane: tuple[float, ...] = NO_WORK
+    prefill_s_by_lane: tuple[float, ...] = NO_PREFILL_S
 
     def prefill_ahead_s(self, lane: str) -> float:
-        """Return what is read before a prompt of a lane that comes now, in seconds."""
+        """Return the duration of the prefills ahead of a new prompt, in seconds."""
         return sum(self.prefill_s_by_lane[: LANES.index(lane) + 1])
 
     @property
     def pending_prefill_s(self) -> float:
-        """What is still to be read, in seconds."""
+        """Expected duration of all pending prefills, in seconds."""
         return sum(self.prefill_s_by_lane)
 
 
 class OrderedStage(NamedTuple):
-    """What the host that orders stages says of one engine.
+    """Stage that an engine was ordered to take.
 
     Attributes
     ----------
     stage : {"prefill", "decode"}
-        The stage that it was ordered to take.
+        The ordered stage.
     is_switching : bool
-        Whether it is still on its way there, and takes no work.
+        Whether the engine is still changing to it, and refuses requests.
     """
 
     stage: str
@@ -68,14 +69,14 @@
 
 
 class EndpointState:
-    """One incarnation of an endpoint.
+    """State of one incarnation of an endpoint.
 
     Parameters
     ----------
     record : EndpointRecord
-        Its entry.
+        The endpoint's entry in the store.
     kv_tokens : int
-        Tokens that its memory holds.
+        Number of tokens that fit into its KV memory.
     """
 
     def __init__(self, record: EndpointRecord, kv_tokens: int = DEFAULT_KV_TOKENS):
@@ -83,139 +84,155 @@
         self.health = Health()
         self.prefixes = PrefixCacheEstimate(kv_tokens)
         self.own_running = 0
-        self._own_readings = 0
-        self._own_lane_s = list(NO_WORK)
-        self._stage_news = None
-        self._stage_news_until_s = float("-inf")
+        self._own_prefills = 0
+        self._own_prefill_s_by_lane = list(NO_PREFILL_S)
+        self._ordered_stage = None
+        self._ordered_stage_until_s = float("-inf")
+        # Set while another endpoint answers at this one's address.
         self.is_address_taken = False
         self._peers = {}
         self.slowdown = Slowdown()
         self._answered_s = float("-inf")
-        self._strain = RunningQuantile(
-            STRAIN_PART, FIRST_STRAIN, LEAST_STRAIN, MOST_STRAIN
+        self._event_gap_ratio = RunningQuantile(
+            GAP_RATIO_QUANTILE, INITIAL_GAP_RATIO, MIN_GAP_RATIO, MAX_GAP_RATIO
         )
 
     @property
     def is_usable(self) -> bool:
-        """Whether it may get new work."""
+        """Whether the endpoint may get new requests."""
         if self.record.is_draining or self.is_address_taken:
             return False
-        return self._stage_news is None or not self._stage_news.is_switching
+        return self._ordered_stage is None or not self._ordered_stage.is_switching
 
     @property
     def stage(self) -> str | None:
-        """Its stage: as ordered while its entry lags, else as its entry says."""
-        if self._stage_news is not None:
-            return self._stage_news.stage
+        """Stage from the latest order while that is valid, else from the entry."""
+        if self._ordered_stage is not None:
+            return self._ordered_stage.stage
         return self.record.stage
 
     @property
     def ordered_stage(self) -> OrderedStage | None:
-        """What the host that orders stages says of it, if anything."""
-        return self._stage_news
+        """Stage that the endpoint was ordered to take, while the order is valid."""
+        return self._ordered_stage
 
-    def on_stage_ordered(self, now_s: float, news: OrderedStage, for_s: float) -> None:
-        """Take in that it was ordered to change its stage.
+    def on_stage_ordered(
+        self, now_s: float, ordered: OrderedStage, for_s: float
+    ) -> None:
+        """Record a stage order, which overrides the stage in the endpoint's entry.
 
-        Failure guarded against: entries tell of a stage seconds later, or not while the
-        store is away. Work that is sent meanwhile is refused, and each refusal uses up
-        a retry.
+        Entries show a new stage seconds later, and not at all while the store is
+        unavailable. Requests sent by the old stage would be refused, and each refusal
+        uses up a retry.
 
         Parameters
         ----------
         now_s : float
-            The present time, in seconds.
-        news : StageNews
-            What is said.
+            Current time, in seconds.
+        ordered : OrderedStage
+            The ordered stage.
         for_s : float
-            For how long that holds unless it is said again, in seconds.
+            Time for which the order is valid unless it is reported again, in seconds.
         """
-        if news.stage != self.stage:
+        if ordered.stage != self.stage:
             self.slowdown = Slowdown()
-        self._stage_news = news
-        self._stage_news_until_s = now_s + for_s
+        self._ordered_stage = ordered
+        self._ordered_stage_until_s = now_s + for_s
 
     def expire_ordered_stage(self, now_s: float) -> None:
-        """Go by the entry again once the news is old."""
-        if now_s >= self._stage_news_until_s:
-            self._stage_news = None
+        """Return to the stage in the entry if the order is no longer valid."""
+        if now_s >= self._ordered_stage_until_s:
+            self._ordered_stage = None
 
     def on_record(self, record: EndpointRecord) -> None:
-        """Take over a newer entry of the same incarnation."""
+        """Replace the entry by a newer one of the same incarnation."""
         if record.heartbeat_count > self.record.heartbeat_count:
-            # It lives, and still has this address.
+            # The endpoint renewed its entry, so it is alive at this address.
             self.is_address_taken = False
         self.record = record
 
     def on_answer_bytes(self, now_s: float) -> None:
-        """Note that bytes of an answer came, whosever answer it is."""
+        """Record that the endpoint sent bytes of an answer to any request."""
         self._answered_s = now_s
 
     def has_answered_since(self, since_s: float) -> bool:
-        """Say whether anything came from it after a time, in seconds.
+        """Return whether the endpoint sent anything after a time, in seconds.
 
-        Failure guarded against: a prompt that is read last waits for as long as
-        others keep coming. Taken for the silence of an engine that is down, it would
-        have the host leave an engine that reads at full speed, and press the load on
-        those that are left.
+        A prompt of low priority waits for as long as others keep arriving. If that
+        counted as silence of the engine, the host would avoid an engine that works at
+        full speed and shift its load to the others.
         """
         return self._answered_s > since_s
 
     def on_event_gap(self, gap_s: float, allowed_s: float) -> None:
-        """Take in the time between two events of a stream.
+        """Update the gap ratio from the time between two events of a stream.
 
         Parameters
         ----------
         gap_s : float
-            The time, in seconds.
+            Time between the events, in seconds.
         allowed_s : float
-            The longest that still has the stream end in time, in seconds.
+            Longest gap with which the stream still ends in time, in seconds.
 
         Notes
         -----
-        An engine makes tokens more slowly the more streams it runs and the more it
-        reads between them. How much of that its streams bear depends on the model, the
-        machine and the routes, and shows in the pauses alone.
+        An engine decodes more slowly the more streams it runs and the more it prefills
+        in between. How much of that its streams tolerate depends on the model, the
+        machine and the routes, and only the gaps show it.
         """
-        self._strain.learn(gap_s / max(0.001, allowed_s))
+        self._event_gap_ratio.learn(gap_s / max(0.001, allowed_s))
 
     @property
     def event_gap_ratio(self) -> float:
-        """Pauses in its streams, as a part of those that let them end in time."""
-        return self._strain.value
+        """Gap between stream events, as a fraction of the allowed gap."""
+        return self._event_gap_ratio.value
 
     def on_peer_load(self, now_s: float, peer: str, load: Load) -> None:
-        """Take in what a peer has under way here."""
+        """Store the load that a peer has at this endpoint."""
         self._peers[peer] = (load, now_s)
 
     def drop_peer(self, peer: str) -> None:
-        """Note that a peer has nothing under way here, and nothing against it."""
+        """Remove the load and the penalty that a peer reported."""
         self._peers.pop(peer, None)
         self.health.drop_peer(peer)
 
     def own_load(self) -> Load:
-        """Return what this host has under way here."""
-        return Load(self.own_running, self._own_readings, tuple(self._own_lane_s))
+        """Return the load that this host has at the endpoint."""
+        return Load(
+            self.own_running, self._own_prefills, tuple(self._own_prefill_s_by_lane)
+        )
 
     def load(self, now_s: float) -> Load:
-        """Return what all hosts together have under way here."""
-        running, readings = self.own_running, self._own_readings
-        lane_s = list(self._own_lane_s)
-        for load, at_s in self._peers.values():
-            if now_s - at_s > PEER_LOAD_S:
+        """Return the load that all hosts together have at the endpoint."""
+        running, prefills = self.own_running, self._own_prefills
+        prefill_s_by_lane = list(self._own_prefill_s_by_lane)
+        for load, received_s in self._peers.values():
+            if now_s - received_s > PEER_LOAD_TTL_S:
                 continue
             running += load.running
-            readings += load.prefills
-            for place, work_s in enumerate(load.prefill_s_by_lane):
-                lane_s[place] += work_s
-        return Load(running, readings, tuple(max(0.0, work_s) for work_s in lane_s))
-
-    def begin_prefill(self, work_s: float, lane: str) -> None:
-        """Count a prompt that is sent here to be read."""
-        self._own_readings += 1
-        self._own_lane_s[LANES.index(lane)] += work_s
-
-    def end_prefill(self, work_s: float, lane: str) -> None:
-        """Take a prompt out that is read, or won't be."""
-        self._own_readings -= 1
-        self._own_lane_s[LANES.index(lane)] -= work_s
+            prefills += load.prefills
+            for index, prefill_s in enumerate(load.prefill_s_by_lane):
+                prefill_s_by_lane[index] += prefill_s
+        return Load(
+            running,
+            prefills,
+            tuple(max(0.0, prefill_s) for prefill_s in prefill_s_by_lane),
+        )
+
+    def begin_prefill(self, prefill_s: float, lane: str) -> None:
+        """Add a prompt that is sent to the endpoint for prefill to the load.
+
+        Parameters
+        ----------
+        prefill_s : float
+            Expected duration of the prefill, in seconds.
+        lane : str
+            Priority class of the prompt.
+        """
+        self._own_prefills += 1
+        self._own_prefill_s_by_lane[LANES.index(lane)] += prefill_s
+
+    def end_prefill(self, prefill_s: float, lane: str) -> None:
+        """Remove a prompt from the load; arguments as for `begin_prefill`."""
+        self._own_prefills -= 1
+        self._own_prefill_s_by_lane[LANES.index(lane)] -= prefill_s
--- a/libs/routing/gypsumusher_routing/stage_plan.py
+++ b/libs/routing/gypsumusher_routing/stage_plan.py
@@ -1,12 +1,13 @@
-"""Which engine takes the stage that no other one has.
+"""Chooses the engine that takes over a stage which no other engine has.
 
-Made for an engine that leaves or crashes as the last one of its stage. Without one that
-makes tokens every request of a model is refused; without one that only reads, prompts
-are read at half the speed between the tokens of others.
+For the case that the last engine of a stage leaves or crashes. Without a decode engine
+every request of the model is refused; without a prefill engine, prompts are prefilled
+at half the speed between the decode steps of other requests.
 
-A stage that is only short of engines is left so: a change takes an engine away until
-its streams have ended and for seconds after that, about ten seconds on long streams,
-and shifts by the load of the last seconds gained nothing on three deployments.
+A stage that merely has too few engines is left alone. A stage change takes an engine
+out of service until its streams have ended and for seconds after that, about ten
+seconds with long streams; changes according to the load of the last seconds gained
+nothing in three deployments.
 """
 
 from typing import NamedTuple
@@ -14,32 +15,32 @@
 __all__ = ["EngineView", "StageChange", "StagePlanner"]
 
 PREFILL, DECODE = "prefill", "decode"
-# A stage without a sound engine is restored when it has been missing for so long, in
-# seconds: an engine that failed a few requests counts as failing for about a second,
-# and is back. One that left or is gone isn't waited for.
+# Time without a healthy engine after which a stage is restored: while it has an
+# unhealthy engine, and when its engines have left or are gone. An engine that failed a
+# few requests is healthy again after about a second.
 MISSING_S, GONE_S = 1.0, 0.3
-# An engine that makes tokens reads by itself, so a reader is ordered only while two
-# others go on making them: one may crash.
-LEAST_DECODES = 2
+# Decode engines that must remain when one becomes a prefill engine. A decode engine can
+# prefill as well, and one of two may crash.
+MIN_DECODE_ENGINES = 2
 
 
 class EngineView(NamedTuple):
-    """What the planner knows of one engine.
+    """State of one engine for the planner.
 
     Attributes
     ----------
     endpoint_id : str
-        The engine.
+        Id of the engine.
     stage : {"prefill", "decode"}
         Its stage, or the one that it is changing to.
     is_healthy : bool
-        Whether it takes work, or will when it has changed.
+        Whether it accepts requests, or will after its stage change.
     is_leaving : bool
         Whether it is draining.
     is_switching : bool
         Whether it is changing its stage.
     running : int
-        Requests that it has under way.
+        Number of its unfinished requests.
     """
 
     endpoint_id: str
@@ -51,16 +52,16 @@
 
 
 class StageChange(NamedTuple):
-    """An engine's stage is to be changed.
+    """Stage change to be ordered.
 
     Attributes
     ----------
     endpoint_id : str
-        The engine.
+        Id of the engine.
     stage : {"prefill", "decode"}
         Its new stage.
     missing_s : float
-        For how long the stage has been missing, in seconds.
+        Time for which the stage has had no healthy engine, in seconds.
     """
 
     endpoint_id: str
@@ -77,28 +78,28 @@
     def next_change(
         self, now_s: float, engines: list[EngineView]
     ) -> StageChange | None:
-        """Return the change to order now, or None.
+        """Return the stage change to order now, or None.
 
         Parameters
         ----------
         now_s : float
-            The present time, in seconds.
+            Current time, in seconds.
         engines : list of EngineView
-            The service's engines that are known.
+            All known engines of the service.
         """
-        sound = [engine for engine in engines if engine.is_healthy]
-        stages = {engine.stage for engine in sound}
-        known = {engine.stage for engine in engines if not engine.is_leaving}
-        others = [engine for engine in sound if not engine.is_switching]
+        healthy = [engine for engine in engines if engine.is_healthy]
+        healthy_stages = {engine.stage for engine in healthy}
+        known_stages = {engine.stage for engine in engines if not engine.is_leaving}
+        candidates = [engine for engine in healthy if not engine.is_switching]
         for stage in (DECODE, PREFILL):
-            least = 1 if stage == DECODE else LEAST_DECODES + 1
-            if stage in stages or len(others) < least:
+            min_candidates = 1 if stage == DECODE else MIN_DECODE_ENGINES + 1
+            if stage in healthy_stages or len(candidates) < min_candidates:
                 self._missing_since_s.pop(stage, None)
                 continue
             missing_s = now_s - self._missing_since_s.setdefault(stage, now_s)
-            if missing_s < (MISSING_S if stage in known else GONE_S):
+            if missing_s < (MISSING_S if stage in known_stages else GONE_S):
                 continue
-            # What it has under way ends first.
-            chosen = min(others, key=lambda e: (e.running, e.endpoint_id))
+            # An engine finishes its running requests before it changes its stage.
+            chosen = min(candidates, key=lambda e: (e.running, e.endpoint_id))
             return StageChange(chosen.endpoint_id, stage, missing_s)
         return None
