--- a/libs/routing/gypsumusher_routing/endpoint_table.py
+++ b/libs/routing/gypsumusher_routing/endpoint_table.py
@@ -51,7 +51,7 @@
         self._grace_until_s = now_s + RETURN_GRACE_S
 
     def end_grace_period(self) -> None:
-        """End the grace period: the store was never down, so missing entries are gone."""
+        """End the grace period: the store was not down, so missing entries are gone."""
         self._grace_until_s = 0.0
 
     def is_in_grace_period(self, now_s: float) -> bool:
--- a/libs/routing/gypsumusher_routing/engine_choice.py
+++ b/libs/routing/gypsumusher_routing/engine_choice.py
@@ -303,7 +303,7 @@
     if pool.policy.own_zone and state.record.zone != pool.own_zone:
         cost_s += OTHER_ZONE_COST_S
     if not choice.is_disaggregated:
-        # The fixed part of the cost, which includes the network, delays no stream.
+        # The fixed part of the cost, for the network round trip, delays no stream.
         blocking_s = choice.cost_s - pool.cost_model.prefill_cost(
             state.stage
         ).expected_s(0, 0)
--- a/libs/routing/gypsumusher_routing/health.py
+++ b/libs/routing/gypsumusher_routing/health.py
@@ -85,7 +85,6 @@
 
 
 def _decayed(penalty, age_s):
-    """Return what is left of a penalty after some seconds."""
+    """Return a penalty decayed over some seconds; a negligible one counts as zero."""
     decayed = penalty * 0.5 ** (max(0.0, age_s) / HALF_LIFE_S)
-    # So that the value does not stay just above zero for long.
     return decayed if decayed > 0.02 else 0.0
--- a/libs/routing/tests/test_endpoint_changes.py
+++ b/libs/routing/tests/test_endpoint_changes.py
@@ -1,4 +1,4 @@
-"""Endpoints told from host to host as changes, against the store's own list."""
+"""Tests of endpoint changes passed from host to host against the store's list."""
 
 from hypothesis import settings
 from hypothesis import strategies as st
@@ -9,30 +9,30 @@
 from gypsumusher_routing.endpoint_table import REMOVED_MAX
 
 IDS = st.sampled_from(["e-1", "e-2", "e-3", "e-4"])
-# Hosts in the order in which each hears of the one before; the first reads the store.
+# Each host gets changes from the one before it; the first one reads the store.
 HOSTS = 3
 
 
-def listed(table):
+def records_by_id(table):
     return {record.endpoint_id: record for record in table.listed_records()}
 
 
-def told(table):
-    """Return what a host is to know of its peer's list: all but the beats."""
+def shared_records(table):
+    """Return the entries that peers must agree on, without heartbeats."""
     return {
         name: record._replace(heartbeat_count=0)
-        for name, record in listed(table).items()
+        for name, record in records_by_id(table).items()
     }
 
 
 class Hosts(RuleBasedStateMachine):
-    """A store, a host that watches it with gaps, and two that ask a peer each."""
+    """A store, a host that watches it with gaps, and two that ask a peer."""
 
     def __init__(self):
         super().__init__()
         self.entries = {}
         self.revision = 1
-        self.lives = 0
+        self.incarnations = 0
         self.now_s = 0.0
         self.is_watching = True
         self.tables = [EndpointTable() for _ in range(HOSTS)]
@@ -54,19 +54,29 @@
 
     @rule(endpoint_id=IDS)
     def start_endpoint(self, endpoint_id):
-        self.lives += 1
+        self.incarnations += 1
         record = EndpointRecord(
-            endpoint_id, self.lives, "svc", "10.0.0.1:80", "a", 6, False, 0.0, None, 1
+            endpoint_id,
+            self.incarnations,
+            "svc",
+            "10.0.0.1:80",
+            "a",
+            6,
+            False,
+            0.0,
+            None,
+            1,
         )
         self._change(endpoint_id, record)
 
     @rule(endpoint_id=IDS)
-    def mark_endpoint_as_leaving(self, endpoint_id):
+    def drain_endpoint(self, endpoint_id):
         if endpoint_id in self.entries:
             record = self.entries[endpoint_id]
-            beat = record.heartbeat_count + 1
+            heartbeat_count = record.heartbeat_count + 1
             self._change(
-                endpoint_id, record._replace(is_draining=True, heartbeat_count=beat)
+                endpoint_id,
+                record._replace(is_draining=True, heartbeat_count=heartbeat_count),
             )
 
     @rule(endpoint_id=IDS)
@@ -87,24 +97,24 @@
     def restart_host(self, number):
         self.tables[number] = EndpointTable()
 
-    @rule(number=st.integers(1, HOSTS - 1), takes_changes=st.booleans())
-    def ask_peer(self, number, takes_changes):
-        """A host that lags asks the one before it, and believes the same after."""
+    @rule(number=st.integers(1, HOSTS - 1), allows_changes=st.booleans())
+    def ask_peer(self, number, allows_changes):
+        """A host with an older revision asks its peer, and then has the same list."""
         peer, table = self.tables[number - 1], self.tables[number]
         if peer.revision <= table.revision:
             return
-        changes = peer.changes_since(table.revision) if takes_changes else None
+        changes = peer.changes_since(table.revision) if allows_changes else None
         if changes is None:
             table.on_full_list(self.now_s, peer.listed_records(), peer.revision)
         else:
             table.on_changes(self.now_s, *changes, peer.revision)
-        assert told(table) == told(peer)
+        assert shared_records(table) == shared_records(peer)
         assert table.revision == peer.revision
 
     @invariant()
-    def the_host_that_watches_knows_what_the_store_holds(self):
+    def watching_host_knows_the_entries_of_the_store(self):
         if self.is_watching:
-            assert listed(self.tables[0]) == self.entries
+            assert records_by_id(self.tables[0]) == self.entries
 
 
 TestHosts = Hosts.TestCase
@@ -116,8 +126,8 @@
 )
 
 
-def test_an_endpoint_that_came_and_went_between_two_lists_is_told_as_a_whole_list():
-    """A host had heard of an endpoint from a peer, and never heard that it left."""
+def test_peer_gets_the_full_list_after_an_endpoint_came_and_went():
+    """Guards against a host that keeps an endpoint because it missed the removal."""
     record = EndpointRecord("e-1", 1, "svc", "10.0.0.1:80", "a", 6, False, 0, None, 1)
     table = EndpointTable()
     table.on_full_list(0.0, [], 5)
@@ -129,8 +139,8 @@
     assert table.changes_since(9) == ([], [])
 
 
-def test_a_renewal_that_changes_nothing_is_told_to_nobody():
-    """Each renewal of each entry was told to every host."""
+def test_heartbeat_alone_is_not_a_change():
+    """Guards against every renewal of every entry being sent to every host."""
     record = EndpointRecord("e-1", 1, "svc", "10.0.0.1:80", "a", 6, False, 0, None, 1)
     table = EndpointTable()
     table.on_full_list(0.0, [record], 5)
@@ -138,8 +148,8 @@
     assert table.changes_since(5) == ([], [])
 
 
-def test_an_older_answer_of_a_peer_changes_nothing():
-    """A peer's late answer brought an endpoint back that had left."""
+def test_outdated_changes_of_a_peer_are_ignored():
+    """Guards against a late answer that restores an endpoint that has left."""
     record = EndpointRecord("e-1", 1, "svc", "10.0.0.1:80", "a", 6, False, 0, None, 1)
     table = EndpointTable()
     table.on_full_list(0.0, [record], 5)
@@ -148,15 +158,15 @@
     assert table.listed_records() == [] and table.revision == 8
 
 
-def test_ids_of_endpoints_that_are_gone_are_kept_in_bounded_number():
-    """Endpoints that come and go for days fill the memory of every host."""
+def test_number_of_removed_ids_is_bounded():
+    """Guards against memory growth when endpoints come and go for days."""
     record = EndpointRecord("e-1", 1, "svc", "10.0.0.1:80", "a", 6, False, 0, None, 1)
     table = EndpointTable()
     table.on_full_list(0.0, [], 1)
     for number in range(REMOVED_MAX + 1):
         table.on_record(record._replace(endpoint_id=f"e-{number}"), 2 + 2 * number)
         table.on_deleted(0.0, f"e-{number}", 3 + 2 * number)
-    # The first one, gone at 3, is forgotten: who knows less is told all.
+    # The first removal, at revision 3, is forgotten: older peers get the full list.
     assert table.changes_since(2) is None
     changed, removed = table.changes_since(3)
     assert (changed, len(removed)) == ([], REMOVED_MAX)
--- a/libs/routing/tests/test_estimates.py
+++ b/libs/routing/tests/test_estimates.py
@@ -1,4 +1,4 @@
-"""What answers teach, with machines that the code knows nothing of."""
+"""Tests of the online estimates, with machines of very different speed."""
 
 import random
 
@@ -11,8 +11,8 @@
     TokensPerEvent,
 )
 
-# Machines unlike each other: a part a prompt, a thousand tokens, a million pairs, in
-# seconds. Small models on fast machines, and large ones on slow machines.
+# Costs in seconds per prompt, per thousand tokens and per million token pairs, from
+# small models on fast machines to large models on slow ones.
 MACHINES = [
     (0.009, 0.0031, 0.0001),
     (0.09, 0.016, 0.0005),
@@ -27,60 +27,60 @@
         yield 200 + draws.expovariate(1 / 3000), draws.choice([0, 2500, 6300, 13_000])
 
 
-def takes_s(machine, new_tokens, kept_tokens):
-    pairs = new_tokens * (kept_tokens + new_tokens / 2)
+def takes_s(machine, new_tokens, cached_tokens):
+    pairs = new_tokens * (cached_tokens + new_tokens / 2)
     fixed_s, token_s, pair_s = machine
     return fixed_s + token_s * new_tokens / 1e3 + pair_s * pairs / 1e6
 
 
 @pytest.mark.parametrize("machine", MACHINES)
-def test_a_machine_is_known_after_a_hundred_answers(machine):
+def test_costs_are_learned_from_a_hundred_answers(machine):
     cost = PrefillCostModel()
     noise = random.Random(2)
-    for new_tokens, kept_tokens in prompts(100):
-        took_s = takes_s(machine, new_tokens, kept_tokens) * noise.uniform(0.9, 1.3)
-        cost.learn(new_tokens, kept_tokens, took_s)
+    for new_tokens, cached_tokens in prompts(100):
+        took_s = takes_s(machine, new_tokens, cached_tokens) * noise.uniform(0.9, 1.3)
+        cost.learn(new_tokens, cached_tokens, took_s)
     errors = []
-    for new_tokens, kept_tokens in prompts(200, seed=3):
-        true_s = 1.1 * takes_s(machine, new_tokens, kept_tokens)
-        error_s = abs(cost.expected_s(new_tokens, kept_tokens) - true_s)
-        # Under a millisecond a network's own jitter is larger.
+    for new_tokens, cached_tokens in prompts(200, seed=3):
+        true_s = 1.1 * takes_s(machine, new_tokens, cached_tokens)
+        error_s = abs(cost.expected_s(new_tokens, cached_tokens) - true_s)
+        # Below a millisecond the network's jitter exceeds the error.
         errors.append(error_s / max(true_s, 0.001))
     errors.sort()
     assert errors[100] < 0.15
     assert errors[180] < 0.5
 
 
-def test_one_stalled_answer_changes_little():
+def test_one_stalled_answer_changes_costs_little():
     cost = PrefillCostModel()
-    for new_tokens, kept_tokens in prompts(100):
-        cost.learn(new_tokens, kept_tokens, takes_s(MACHINES[0], new_tokens, 0))
+    for new_tokens, cached_tokens in prompts(100):
+        cost.learn(new_tokens, cached_tokens, takes_s(MACHINES[0], new_tokens, 0))
     before_s = cost.expected_s(3000, 6300)
     cost.learn(3000, 6300, 5.0)
     assert cost.expected_s(3000, 6300) < 1.5 * before_s
 
 
-def test_a_model_that_is_replaced_by_a_slower_one_is_noticed():
+def test_costs_follow_a_change_to_a_slower_model():
     cost = PrefillCostModel()
-    for new_tokens, kept_tokens in prompts(300):
-        took_s = takes_s(MACHINES[0], new_tokens, kept_tokens)
-        cost.learn(new_tokens, kept_tokens, took_s)
-    for new_tokens, kept_tokens in prompts(300, seed=5):
-        took_s = takes_s(MACHINES[1], new_tokens, kept_tokens)
-        cost.learn(new_tokens, kept_tokens, took_s)
+    for new_tokens, cached_tokens in prompts(300):
+        took_s = takes_s(MACHINES[0], new_tokens, cached_tokens)
+        cost.learn(new_tokens, cached_tokens, took_s)
+    for new_tokens, cached_tokens in prompts(300, seed=5):
+        took_s = takes_s(MACHINES[1], new_tokens, cached_tokens)
+        cost.learn(new_tokens, cached_tokens, took_s)
     true_s = takes_s(MACHINES[1], 3000, 6300)
     assert cost.expected_s(3000, 6300) == pytest.approx(true_s, rel=0.25)
 
 
-def test_a_slow_engine_is_told_apart_within_ten_answers_and_tried_again_later():
-    pace = Slowdown()
+def test_slowdown_rises_within_ten_answers_and_decays_without_any():
+    slowdown = Slowdown()
     for _ in range(10):
-        pace.learn(1.0, 0.25, 0.05)
-    assert pace.factor(1.0) > 3.0
-    assert pace.factor(20.0) < 1.2
+        slowdown.learn(1.0, 0.25, 0.05)
+    assert slowdown.factor(1.0) > 3.0
+    assert slowdown.factor(20.0) < 1.2
 
 
-def test_a_quantile_follows_what_is_seen():
+def test_quantile_follows_the_values():
     draws = random.Random(4)
     quantile = RunningQuantile(0.8, 1.0, 0.1, 50.0)
     for _ in range(1000):
@@ -88,12 +88,12 @@
     assert 6.5 < quantile.value < 9.5
 
 
-def test_events_of_many_tokens_are_counted_as_events():
-    # Callers estimate 5,600 tokens, and the stream has a hundred events. The estimates
-    # are right at the median only.
+def test_events_are_expected_from_token_estimates():
+    # Streams for estimates of 5,600 tokens have a hundred events. The estimates scatter
+    # widely, so only their median is right.
     draws = random.Random(5)
-    tokens = TokensPerEvent()
-    assert tokens.expected_events(5600) is None
+    tokens_per_event = TokensPerEvent()
+    assert tokens_per_event.expected_events(5600) is None
     for _ in range(100):
-        tokens.learn(5600 * draws.lognormvariate(0.0, 0.5), 100)
-    assert tokens.expected_events(5600) == pytest.approx(100, rel=0.3)
+        tokens_per_event.learn(5600 * draws.lognormvariate(0.0, 0.5), 100)
+    assert tokens_per_event.expected_events(5600) == pytest.approx(100, rel=0.3)
--- a/libs/routing/tests/test_many_hosts.py
+++ b/libs/routing/tests/test_many_hosts.py
@@ -1,4 +1,4 @@
-"""Hundreds of hosts that tell each other of their loads many times a second."""
+"""Tests with hundreds of hosts that send each other their loads."""
 
 import pytest
 from samples import engine
@@ -25,13 +25,13 @@
     )  # fmt: skip
 
 
-def fleet(strong, weak):
+def hosts_of(strong, weak):
     hosts = [host(number, 2.0) for number in range(strong)]
     return hosts + [host(strong + number, 0.0) for number in range(weak)]
 
 
 class CountedStates(dict):
-    """The states of a table, counting how often one is looked up."""
+    """States of a table that count lookups and reject iteration."""
 
     def __init__(self, states):
         super().__init__(states)
@@ -42,23 +42,23 @@
         return super().get(key, default)
 
     def items(self):
-        raise AssertionError("all endpoints are gone through for one message")
+        raise AssertionError("one message iterates over all endpoints")
 
     values = items
 
 
-def table():
-    found = EndpointTable()
+def endpoint_table():
+    table = EndpointTable()
     for number in range(ENGINES):
         state = engine(f"e-{number}")
-        found.states[state.record.endpoint_id] = state
-    found.states = CountedStates(found.states)
-    return found
+        table.states[state.record.endpoint_id] = state
+    table.states = CountedStates(table.states)
+    return table
 
 
-def test_a_message_costs_what_it_names_and_not_all_endpoints():
-    """A host spent its processor on messages of hosts with nothing under way."""
-    endpoints = table()
+def test_cost_of_a_message_grows_with_the_endpoints_it_names():
+    """Guards against high CPU load from messages of hosts without any load."""
+    endpoints = endpoint_table()
     for number in range(HOSTS):
         endpoints.on_peer_loads(NOW_S, f"host-{number}", {})
     assert endpoints.states.lookups == 0
@@ -67,9 +67,9 @@
     assert endpoints.states.lookups <= 3
 
 
-def test_what_a_peer_no_longer_names_has_ended():
-    """An engine kept counting as busy, and as failing, after a peer's work there."""
-    endpoints = table()
+def test_load_and_penalty_end_when_a_peer_omits_the_endpoint():
+    """Guards against engines that stay busy, or avoided, after a peer's requests."""
+    endpoints = endpoint_table()
     state = endpoints.states["e-1"]
     endpoints.on_peer_loads(NOW_S, "host-1", {"e-1": (Load(2), 1.0)})
     endpoints.on_peer_loads(NOW_S, "host-2", {"e-1": (Load(3), 0.0)})
@@ -80,55 +80,55 @@
     assert not state.health.is_avoided(NOW_S)
 
 
-def test_a_peer_that_names_an_unknown_endpoint_changes_nothing():
-    """One host knows an endpoint before the others do."""
-    endpoints = table()
+def test_load_at_an_unknown_endpoint_is_ignored():
+    """A peer may know an endpoint before this host does."""
+    endpoints = endpoint_table()
     endpoints.on_peer_loads(NOW_S, "host-1", {"new": (Load(2), 1.0)})
     endpoints.on_peer_loads(NOW_S, "host-1", {})
     assert "new" not in endpoints.states
 
 
 @pytest.mark.parametrize("strong, weak", [(0, 195), (15, 180), (5, 190), (195, 0)])
-def test_a_host_that_hears_of_the_active_ones_alone_names_all_of_them(strong, weak):
-    """Callers of two hundred hosts were sent to five: a part of a part."""
-    hosts = fleet(strong, weak)
+def test_host_that_knows_only_the_active_hosts_chooses_all_of_them(strong, weak):
+    """Guards against a share of a share: five active hosts out of two hundred."""
+    hosts = hosts_of(strong, weak)
     active = choose_active_hosts(hosts)
     assert len(active) >= 15
-    quiet = next(news for news in hosts if news not in active)
-    assert choose_active_hosts([*active, quiet], len(hosts)) == active
+    inactive = next(status for status in hosts if status not in active)
+    assert choose_active_hosts([*active, inactive], len(hosts)) == active
 
 
-def test_strong_hosts_take_the_callers_alone_where_they_are_some():
-    """Weak hosts tell of their readings late, and send to engines that are busy."""
-    active = choose_active_hosts(fleet(15, 180))
+def test_only_strong_hosts_are_active_if_there_are_enough():
+    """Weak hosts report their prefills late, and send prompts to busy engines."""
+    active = choose_active_hosts(hosts_of(15, 180))
     assert len(active) == 15
-    assert all(news.capacity for news in active)
+    assert all(status.capacity for status in active)
 
 
-def test_a_few_strong_hosts_do_not_carry_the_load_of_all():
-    """Five strong hosts of hundreds would each take seven times its share."""
-    assert len(choose_active_hosts(fleet(5, 325))) >= 55
+def test_weak_hosts_are_active_too_if_there_are_few_strong_ones():
+    """Five strong hosts out of hundreds would each get seven times their share."""
+    assert len(choose_active_hosts(hosts_of(5, 325))) >= 55
 
 
-def test_an_engine_that_reads_for_other_hosts_too_is_not_silent():
-    """Readings that had begun were given up, and read a second time elsewhere."""
-    learnt, expected_s = CostModel(), 0.3
-    # Of ten prompts three meet one that another host has sent at the same time.
+def test_engine_that_prefills_for_other_hosts_does_not_time_out():
+    """Guards against giving up prefills that have begun and repeating them elsewhere."""
+    cost_model, expected_s = CostModel(), 0.3
+    # Three of ten prompts arrive together with a prompt from another host.
     for number in range(400):
         took_s = expected_s * (2.8 if number % 10 < 3 else 0.9)
-        seen = PrefillObservation(
+        observation = PrefillObservation(
             "prefill", TIMELY, 4000, 0, 0.0, expected_s, 0.0, took_s
         )
-        learnt.on_prefill(0.05 * number, Slowdown(), seen)
-    assert learnt.prefill_timeout_s("prefill", expected_s) > 1.5 * 2.8 * expected_s
+        cost_model.on_prefill(0.05 * number, Slowdown(), observation)
+    assert cost_model.prefill_timeout_s("prefill", expected_s) > 1.5 * 2.8 * expected_s
 
 
-def test_an_engine_that_answers_as_expected_is_soon_known_as_silent():
-    """Prompts waited for seconds at an engine that was down."""
-    learnt, expected_s = CostModel(), 0.3
+def test_timeout_is_short_if_answers_come_as_expected():
+    """Guards against prompts that wait for seconds at an engine that is down."""
+    cost_model, expected_s = CostModel(), 0.3
     for number in range(400):
-        seen = PrefillObservation(
+        observation = PrefillObservation(
             "prefill", TIMELY, 4000, 0, 0.0, expected_s, 0.0, expected_s
         )
-        learnt.on_prefill(0.05 * number, Slowdown(), seen)
-    assert learnt.prefill_timeout_s("prefill", expected_s) < 4.0 * expected_s
+        cost_model.on_prefill(0.05 * number, Slowdown(), observation)
+    assert cost_model.prefill_timeout_s("prefill", expected_s) < 4.0 * expected_s
--- a/libs/routing/tests/test_version_lag.py
+++ b/libs/routing/tests/test_version_lag.py
@@ -1,38 +1,38 @@
-"""For how long a host knows less than its peers."""
+"""Tests of the time for which a host has known older versions than its peers."""
 
 from gypsumusher_routing import VersionLag
 
 
-def test_a_host_that_knows_as_much_as_its_peers_has_no_lag():
+def test_host_with_the_newest_version_has_no_lag():
     lag = VersionLag()
     assert lag.update(10.0, known=5, newest=5) == 0.0
     assert lag.update(99.0, known=6, newest=5) == 0.0
 
 
-def test_the_lag_counts_from_the_first_word_of_what_is_missing():
+def test_lag_counts_from_the_first_report_of_a_newer_version():
     lag = VersionLag()
     assert lag.update(10.0, known=5, newest=7) == 0.0
     assert lag.update(10.5, known=5, newest=7) == 0.5
     assert lag.update(10.7, known=7, newest=7) == 0.0
 
 
-def test_newer_news_does_not_begin_the_lag_of_older_news_anew():
-    # One endpoint leaves each half second. A host that hears of none of them must not
-    # look as one that hears of each within half a second.
+def test_newer_versions_do_not_restart_the_lag():
+    # A version is published every 0.5 s. The lag of a host that receives none of them
+    # must not look like that of a host that receives each within 0.5 s.
     lag = VersionLag()
     for number in range(10):
         lag.update(0.5 * number, known=5, newest=6 + number)
     assert lag.lag_s == 4.5
 
 
-def test_a_host_that_keeps_up_with_many_changes_has_a_small_lag():
+def test_host_that_follows_frequent_changes_has_no_lag():
     lag = VersionLag()
     for number in range(10):
         lag.update(0.5 * number, known=number, newest=number + 1)
     assert lag.lag_s == 0.0
 
 
-def test_what_only_a_dead_peer_knew_is_not_waited_for():
+def test_version_that_only_a_dead_peer_reported_is_not_awaited():
     lag = VersionLag()
     lag.update(0.0, known=5, newest=900)
     lag.update(4.0, known=5, newest=900)
