--- a/libs/routing/gypsumusher_routing/endpoint_table.py
+++ b/libs/routing/gypsumusher_routing/endpoint_table.py
@@ -31,9 +31,9 @@
         self._grace_until_s = 0.0
         self._kv_tokens = {}
         self._endpoints_by_peer = {}
-        # Revision of each change since a base revision, for peers. The base is that of
+        # Revision of each change after a base revision, for peers. The base is that of
         # the last full list, or later once removed ids were forgotten.
-        self._changes_since = None
+        self._base_revision = None
         self._changed_at = {}
         self._removed_at = {}
 
@@ -84,7 +84,7 @@
             New or changed entries, and the ids of removed ones; None if the peer needs
             the full list.
         """
-        if self._changes_since is None or revision < self._changes_since:
+        if self._base_revision is None or revision < self._base_revision:
             return None
         changed = [
             self.states[endpoint_id].record
@@ -106,7 +106,7 @@
         """
         if revision < self.revision:
             return []
-        self.revision = self._changes_since = revision
+        self.revision = self._base_revision = revision
         self._changed_at.clear()
         self._removed_at.clear()
         changed = []
@@ -175,8 +175,8 @@
         self._removed_at[endpoint_id] = revision
         if len(self._removed_at) > REMOVED_MAX:
             forgotten_at = self._removed_at.pop(next(iter(self._removed_at)))
-            if self._changes_since is not None:
-                self._changes_since = max(self._changes_since, forgotten_at)
+            if self._base_revision is not None:
+                self._base_revision = max(self._base_revision, forgotten_at)
         if endpoint_id in self.states:
             self._mark_missing(now_s, endpoint_id)
 
--- a/libs/routing/gypsumusher_routing/engine_choice.py
+++ b/libs/routing/gypsumusher_routing/engine_choice.py
@@ -42,9 +42,9 @@
 # duration. The engine runs it in chunks between the decode steps, so each stream is
 # delayed by a part of it.
 INTERFERENCE_PER_REQUEST = 0.5
-# Duration of a prefill that delays streams by nothing, as a share of the request's
-# objective. With objectives of 0.2 s, prefills of 0.08 s next to streams made a third
-# of the long answers end too late.
+# Duration up to which a prefill counts as harmless to streams, as a share of its
+# request's objective. With objectives of 0.2 s, prefills of 0.08 s next to streams made
+# a third of the long answers end too late.
 HARMLESS_SHARE = 0.1
 # Many short prefills slow streams down as much as a long one. Streams whose gaps come
 # close to the allowed ones tolerate no more of them, however short they are. Gap ratios
--- a/libs/routing/gypsumusher_routing/estimates.py
+++ b/libs/routing/gypsumusher_routing/estimates.py
@@ -26,8 +26,8 @@
 # evicted cache entries; the fastest answers show what a prefill costs. The second one
 # is also the bound beyond which an answer is an outlier.
 SLOW_CLIP_SIGMAS, FAST_CLIP_SIGMAS = 1.0, 3.0
-# Consecutive outliers to the same side after which the engines or the model are taken
-# to have changed, and the estimate starts to learn anew.
+# Consecutive outliers to the same side after which the engines or the model must have
+# changed, and the covariance is reset to its initial value.
 RESET_AFTER_OUTLIERS = 6
 # Lower bound of the expected duration of a prefill.
 MIN_COST_S = 0.001
@@ -117,7 +117,7 @@
         return True
 
     def _update_covariance(self, gains, total):
-        """Reduce the covariance by what an answer told, and discount the past."""
+        """Reduce the covariance by one answer, and discount earlier answers."""
         for row in range(3):
             for column in range(3):
                 explained = gains[row] * gains[column] / total
--- a/libs/routing/gypsumusher_routing/host_table.py
+++ b/libs/routing/gypsumusher_routing/host_table.py
@@ -38,7 +38,7 @@
     endpoints_revision : int
         Revision of the endpoints that it knows.
     capacity : float
-        Relative capacity; see `host_capacity`.
+        Capacity in discrete steps; see `host_capacity`.
     sees_store : bool
         Whether the store answers it.
     store_reachable_s : float
--- a/libs/routing/gypsumusher_routing/stage_plan.py
+++ b/libs/routing/gypsumusher_routing/stage_plan.py
@@ -35,7 +35,7 @@
         Its stage, or the one that it is changing to.
     is_healthy : bool
         Whether it accepts requests, or will after its stage change.
-    is_leaving : bool
+    is_draining : bool
         Whether it is draining.
     is_switching : bool
         Whether it is changing its stage.
@@ -46,7 +46,7 @@
     endpoint_id: str
     stage: str
     is_healthy: bool
-    is_leaving: bool
+    is_draining: bool
     is_switching: bool
     running: int
 
@@ -89,7 +89,7 @@
         """
         healthy = [engine for engine in engines if engine.is_healthy]
         healthy_stages = {engine.stage for engine in healthy}
-        known_stages = {engine.stage for engine in engines if not engine.is_leaving}
+        known_stages = {engine.stage for engine in engines if not engine.is_draining}
         candidates = [engine for engine in healthy if not engine.is_switching]
         for stage in (DECODE, PREFILL):
             min_candidates = 1 if stage == DECODE else MIN_DECODE_ENGINES + 1
--- a/libs/routing/tests/test_engine_choice.py
+++ b/libs/routing/tests/test_engine_choice.py
@@ -1,7 +1,7 @@
 """Tests of the choice of engines for prefill and decode under different loads."""
 
 import pytest
-from samples import NO_LIMIT_S, LIMITS, engine, constant_draw, prompt
+from samples import LIMITS, NO_LIMIT_S, constant_draw, engine, prompt
 
 from gypsumusher_routing import (
     HOPELESS,
@@ -256,8 +256,8 @@
 
 def test_largest_prompts_are_not_refused_at_idle_engines():
     # A prompt takes two seconds to prefill, and its caller waits for three. If refusal
-    # used the margin of timely prompts, it would be refused at every idle engine: of the
-    # largest tenth a third was served, of all prompts three quarters.
+    # used the margin of timely prompts, all idle engines would refuse it. Then a third
+    # of the largest tenth of the prompts was served, and three quarters of all prompts.
     prefill, decode = engine("p"), engine("d", "decode")
     decode.own_running = 40
     # Its id keeps it out of the share of large prompts that are queued as timely.
--- a/libs/routing/tests/test_gossip_rate.py
+++ b/libs/routing/tests/test_gossip_rate.py
@@ -27,8 +27,8 @@
 
 @pytest.mark.parametrize("link_mbps", [5.0, 10.0, 20.0])
 def test_gossip_uses_only_its_share_of_a_slow_link(link_mbps):
-    # Under full load every check finds a change, and sending it to all peers takes more
-    # than a tenth of a second on the slowest link. One round is always sent.
+    # Under full load every check finds a change, and sending all of them would take a
+    # third of the slowest link. One round of messages is always sent.
     sent_bytes = messages_per_s(link_mbps) * MESSAGE_BYTES
     link_bytes = link_mbps * 1e6 / 8.0
     assert sent_bytes <= 0.05 * link_bytes + HOSTS * MESSAGE_BYTES
--- a/libs/routing/tests/test_many_hosts.py
+++ b/libs/routing/tests/test_many_hosts.py
@@ -111,7 +111,7 @@
 
 
 def test_engine_that_prefills_for_other_hosts_does_not_time_out():
-    """Guards against giving up prefills that have begun and repeating them elsewhere."""
+    """Guards against prefills that are given up too early and repeated elsewhere."""
     cost_model, expected_s = CostModel(), 0.3
     # Three of ten prompts arrive together with a prompt from another host.
     for number in range(400):
--- a/libs/routing/tests/test_small_decisions.py
+++ b/libs/routing/tests/test_small_decisions.py
@@ -5,7 +5,7 @@
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
-from samples import engine, constant_draw, prompt
+from samples import constant_draw, engine, prompt
 
 from gypsumusher_ports import (
     Configuration,
@@ -137,8 +137,8 @@
 
 
 def test_restarted_host_has_no_slack_at_once():
-    # Hosts are killed repeatedly. If each start added the host's slack again, the retries
-    # within a window would exceed the bound.
+    # Hosts are killed repeatedly. If each start added the host's slack again, the
+    # retries within a window would exceed the bound.
     budget = RetryBudget(0.2, 54, 10.0, started_s=100.0)
     assert not budget.take(100.0, 1).is_allowed
     assert budget.take(105.0, 1).is_allowed
@@ -180,8 +180,8 @@
 
 
 def test_restarted_host_whose_clock_was_set_back_is_accepted():
-    # A host restarts after its clock was set back, so its messages look older than those
-    # of its previous process. It must not stay out of the list of hosts for ever.
+    # A host restarts after its clock was set back, so its messages look older than
+    # those of its previous process. It must not stay out of the list for ever.
     table = HostTable("host-1")
     table.on_status(0.0, status("host-2", sequence=70, started_ms=9000))
     assert not table.on_status(0.5, status("host-2", sequence=1, started_ms=5000))
@@ -252,8 +252,8 @@
 
 def test_prompt_that_no_engine_would_prefill_in_time_is_hopeless():
     # A burst occupies all engines for five seconds; callers give up after three. A
-    # request that waits that long is lost, and so is its prefill. Refused at once, it is
-    # repeated when the backlog is gone.
+    # request that waits that long is lost, and so is its prefill. If it is refused at
+    # once, the caller repeats it when the backlog is gone.
     assert lane_of(0.2, 4.8, 8.8, chance=1.0) == HOPELESS
 
 
--- a/libs/routing/tests/test_stage_plan.py
+++ b/libs/routing/tests/test_stage_plan.py
@@ -3,8 +3,8 @@
 from gypsumusher_routing import EngineView, StagePlanner
 
 
-def engine(name, stage, running=0, healthy=True, leaving=False, switching=False):
-    return EngineView(name, stage, healthy, leaving, switching, running)
+def engine(name, stage, running=0, healthy=True, draining=False, switching=False):
+    return EngineView(name, stage, healthy, draining, switching, running)
 
 
 def engines_of(prefills, decodes):
@@ -31,8 +31,8 @@
 
 
 def test_draining_engine_is_replaced_without_the_longer_wait():
-    leaving = engine("d0", "decode", healthy=False, leaving=True)
-    change, at_s = plan(StagePlanner(), [*engines_of(2, 0), leaving])
+    draining = engine("d0", "decode", healthy=False, draining=True)
+    change, at_s = plan(StagePlanner(), [*engines_of(2, 0), draining])
     assert change.stage == "decode"
     assert at_s <= 0.5
 
