--- a/libs/daemon/gypsumusher_daemon/cell.py
+++ b/libs/daemon/gypsumusher_daemon/cell.py
@@ -7,7 +7,7 @@
 
 from gypsumusher_coordination import Membership, MembershipPolicy
 from gypsumusher_coordination.membership import LEAVING, LIVE, SUSPECT
-from gypsumusher_peers import Identity, PeerLink, PeerServer
+from gypsumusher_peers import Identity, PeerClient, PeerServer
 
 __all__ = ["LEAVING", "LIVE", "SUSPECT", "Cell", "CellParts"]
 
@@ -212,7 +212,7 @@
     def _open_link(self, address, name):
         """Return a link to a host; it connects on its own."""
         ip, port = address.rsplit(":", 1)
-        link = PeerLink(ip, int(port), self._identity, self._keys, expected_host=name)
+        link = PeerClient(ip, int(port), self._identity, self._keys, expected_host=name)
         self._spawn(link.start())
         return link
 
--- a/libs/daemon/gypsumusher_daemon/engine_sessions.py
+++ b/libs/daemon/gypsumusher_daemon/engine_sessions.py
@@ -4,7 +4,7 @@
 
 import aiohttp
 
-from gypsumusher_objects import forbid_repeats
+from gypsumusher_objects import disable_retries
 
 __all__ = ["EngineSessions"]
 
@@ -68,7 +68,7 @@
             auto_decompress=False,
             trust_env=False,
         )
-        forbid_repeats(session)
+        disable_retries(session)
         return session
 
     async def answers(self, address):
--- a/libs/daemon/gypsumusher_daemon/host.py
+++ b/libs/daemon/gypsumusher_daemon/host.py
@@ -348,7 +348,7 @@
     async def _follow_list(self):
         """Read the platform's list of endpoints again and again."""
         while True:
-            result = await self.client.hosts()
+            result = await self.client.list_hosts()
             if isinstance(result, Success):
                 self.endpoints.set_listed(result.unwrap())
                 self.reports.follow_list()
--- a/libs/daemon/gypsumusher_daemon/order_sender.py
+++ b/libs/daemon/gypsumusher_daemon/order_sender.py
@@ -5,7 +5,7 @@
 import aiohttp
 
 from gypsumusher_coordination import OrderCallFailed, OrderReply
-from gypsumusher_objects import forbid_repeats, read_limited
+from gypsumusher_objects import disable_retries, read_body
 
 __all__ = ["OrderSender"]
 
@@ -55,7 +55,7 @@
             trace_configs=[trace],
             trust_env=False,
         )
-        forbid_repeats(self._session)
+        disable_retries(self._session)
 
     async def close(self):
         """Close the session."""
@@ -126,7 +126,7 @@
 
 async def _read_json(response):
     """Return the JSON of a small answer."""
-    raw = await read_limited(response, ANSWER_BYTES_MAX)
+    raw = await read_body(response, ANSWER_BYTES_MAX)
     answer = json.loads(raw)
     if not isinstance(answer, dict):
         raise ValueError("answer is not a JSON object")
--- a/libs/objects/gypsumusher_objects/__init__.py
+++ b/libs/objects/gypsumusher_objects/__init__.py
@@ -1,11 +1,17 @@
 """Client of the platform's object API."""
 
-from gypsumusher_objects.bodies import BodyTooLarge, read_limited
 from gypsumusher_objects.budget import READ, WRITE, BudgetLimits, CallBudget
 from gypsumusher_objects.client import PlatformClient, boottime_s
 from gypsumusher_objects.errors import PlatformError
-from gypsumusher_objects.repeats import forbid_repeats
-from gypsumusher_objects.types import Change, Item, ListedHost, Listing, Stored
+from gypsumusher_objects.response_body import BodyTooLarge, read_body
+from gypsumusher_objects.retries import disable_retries
+from gypsumusher_objects.types import (
+    ListedHost,
+    Listing,
+    PlatformObject,
+    VersionedValue,
+    WatchResult,
+)
 
 __all__ = [
     "READ",
@@ -13,14 +19,14 @@
     "BodyTooLarge",
     "BudgetLimits",
     "CallBudget",
-    "Change",
-    "Item",
     "ListedHost",
     "Listing",
     "PlatformClient",
     "PlatformError",
-    "Stored",
+    "PlatformObject",
+    "VersionedValue",
+    "WatchResult",
     "boottime_s",
-    "forbid_repeats",
-    "read_limited",
+    "disable_retries",
+    "read_body",
 ]
--- a/libs/objects/gypsumusher_objects/budget.py
+++ b/libs/objects/gypsumusher_objects/budget.py
@@ -27,9 +27,9 @@
     writes_per_s: float = 25.0
     reads_per_s: float = 100.0
     burst_s: float = 1.0
-    urgent_reserve: float = 0.2
-    first_backoff_s: float = 0.1
-    longest_backoff_s: float = 3.0
+    urgent_reserve_share: float = 0.2
+    initial_backoff_s: float = 0.1
+    max_backoff_s: float = 3.0
 
 
 DEFAULT_LIMITS = BudgetLimits()
@@ -116,7 +116,7 @@
     def _bucket(self, rate_per_s: float) -> TokenBucket:
         # A burst below two tokens could never serve a call that leaves a reserve.
         burst = max(2.0, rate_per_s * self.limits.burst_s)
-        return TokenBucket(rate_per_s, burst, burst * self.limits.urgent_reserve)
+        return TokenBucket(rate_per_s, burst, burst * self.limits.urgent_reserve_share)
 
     def take(self, now_s: float, kind: str, urgent: bool = False) -> float:
         """Ask for one call.
@@ -165,8 +165,8 @@
         if started_s < self.failed_s and retry_after_s is None:
             return
         longest_s = min(
-            self.limits.longest_backoff_s,
-            self.limits.first_backoff_s * 2.0 ** min(self.failures, 30),
+            self.limits.max_backoff_s,
+            self.limits.initial_backoff_s * 2.0 ** min(self.failures, 30),
         )
         wait_s = (retry_after_s or 0.0) + self.random() * longest_s
         self.failures += 1
--- a/libs/objects/gypsumusher_objects/client.py
+++ b/libs/objects/gypsumusher_objects/client.py
@@ -11,7 +11,6 @@
 from returns.result import Failure, Result, Success
 from yarl import URL
 
-from gypsumusher_objects.bodies import PIECE_BYTES, BodyTooLarge, read_limited
 from gypsumusher_objects.budget import READ, WRITE, CallBudget
 from gypsumusher_objects.errors import (
     BUDGET,
@@ -21,8 +20,15 @@
     UNAVAILABLE,
     PlatformError,
 )
-from gypsumusher_objects.repeats import forbid_repeats
-from gypsumusher_objects.types import Change, Item, ListedHost, Listing, Stored
+from gypsumusher_objects.response_body import PIECE_BYTES, BodyTooLarge, read_body
+from gypsumusher_objects.retries import disable_retries
+from gypsumusher_objects.types import (
+    ListedHost,
+    Listing,
+    PlatformObject,
+    VersionedValue,
+    WatchResult,
+)
 
 # A platform on the same network answers a connect within milliseconds; an address
 # that has not after a second is dead, and the next address should have its turn.
@@ -115,7 +121,7 @@
             auto_decompress=False,
             read_bufsize=PIECE_BYTES,
         )
-        forbid_repeats(self._session)
+        disable_retries(self._session)
 
     async def close(self) -> None:
         """Close the session and its connections."""
@@ -131,7 +137,7 @@
 
     async def read(
         self, kind: str, name: str, urgent: bool = False
-    ) -> Result[Stored | None, PlatformError]:
+    ) -> Result[VersionedValue | None, PlatformError]:
         """Read one object; None when it does not exist."""
         call = _Call("GET", f"/v1/objects/{_part(kind)}/{_part(name)}", READ, urgent)
         return await self._run(call, _parse_read)
@@ -170,7 +176,7 @@
         timeout_s: float,
         name: str | None = None,
         urgent: bool = False,
-    ) -> Result[Change, PlatformError]:
+    ) -> Result[WatchResult, PlatformError]:
         """Wait until a kind changes after revision `after`, at most `timeout_s`."""
         query = {"after": after, "timeout_s": timeout_s}
         if name is not None:
@@ -179,7 +185,7 @@
         call = _Call("WATCH", path, READ, urgent, wait_s=timeout_s)
         return await self._run(call, _parse_change)
 
-    async def hosts(
+    async def list_hosts(
         self, urgent: bool = False
     ) -> Result[list[ListedHost], PlatformError]:
         """Read the platform's lagging list of endpoints."""
@@ -251,7 +257,7 @@
             timeout=timeout,
             allow_redirects=False,
         ) as response:
-            payload = await read_limited(response, ANSWER_LIMIT_BYTES)
+            payload = await read_body(response, ANSWER_LIMIT_BYTES)
             return _decode(response, payload)
 
     def _note(self, result: Result[Any, PlatformError], started_s: float) -> None:
@@ -329,12 +335,12 @@
     return quote(text, safe="")
 
 
-def _parse_read(body: Any) -> Stored:
-    return Stored(_version(body), body["value"])
+def _parse_read(body: Any) -> VersionedValue:
+    return VersionedValue(_version(body), body["value"])
 
 
-def _parse_stored(body: Any) -> Stored | None:
-    stored = Stored(_version(body), body["value"])
+def _parse_stored(body: Any) -> VersionedValue | None:
+    stored = VersionedValue(_version(body), body["value"])
     return stored if stored.version > 0 else None
 
 
@@ -349,9 +355,9 @@
     return version
 
 
-def _parse_items(items: Any) -> list[Item]:
+def _parse_items(items: Any) -> list[PlatformObject]:
     return [
-        Item(item["kind"], item["name"], _version(item), item["value"])
+        PlatformObject(item["kind"], item["name"], _version(item), item["value"])
         for item in items
     ]
 
@@ -360,9 +366,9 @@
     return Listing(int(body["revision"]), _parse_items(body["items"]))
 
 
-def _parse_change(body: Any) -> Change:
+def _parse_change(body: Any) -> WatchResult:
     deleted = [str(name) for name in body["deleted"]]
-    return Change(int(body["revision"]), _parse_items(body["items"]), deleted)
+    return WatchResult(int(body["revision"]), _parse_items(body["items"]), deleted)
 
 
 def _parse_hosts(body: Any) -> list[ListedHost]:
--- a/libs/objects/gypsumusher_objects/errors.py
+++ b/libs/objects/gypsumusher_objects/errors.py
@@ -2,7 +2,7 @@
 
 from typing import NamedTuple
 
-from gypsumusher_objects.types import Stored
+from gypsumusher_objects.types import VersionedValue
 
 CONFLICT = "conflict"
 UNAVAILABLE = "unavailable"
@@ -27,7 +27,7 @@
     sent : bool
         Whether a write may have taken effect. False is a promise: either no byte
         reached the platform or the platform itself said that nothing happened.
-    stored : Stored or None
+    stored : VersionedValue or None
         On a conflict, what stands instead; None when the object does not exist.
     retry_after_s : float or None
         Seconds to wait before the next try, when known.
@@ -39,6 +39,6 @@
     step: str
     peer: str
     sent: bool
-    stored: Stored | None = None
+    stored: VersionedValue | None = None
     retry_after_s: float | None = None
     detail: str = ""
--- a/libs/objects/gypsumusher_objects/bodies.py
+++ b/libs/objects/gypsumusher_objects/response_body.py
@@ -1,6 +1,6 @@
 """Reads answers to their end, within a bound."""
 
-__all__ = ["BodyTooLarge", "read_limited"]
+__all__ = ["BodyTooLarge", "read_body"]
 
 # Bytes that are taken at once.
 PIECE_BYTES = 64 * 1024
@@ -10,7 +10,7 @@
     """An answer is larger than any that is expected."""
 
 
-async def read_limited(response, limit_bytes):
+async def read_body(response, max_bytes):
     """Return the whole body of an answer.
 
     Failure guarded against: one read returns what has come so far, which is the whole
@@ -20,7 +20,7 @@
     ----------
     response : aiohttp.ClientResponse
         The answer.
-    limit_bytes : int
+    max_bytes : int
         Largest body, in bytes.
 
     Raises
@@ -31,7 +31,7 @@
     pieces, size_bytes = [], 0
     async for piece in response.content.iter_chunked(PIECE_BYTES):
         size_bytes += len(piece)
-        if size_bytes > limit_bytes:
-            raise BodyTooLarge(f"the answer is over {limit_bytes} bytes")
+        if size_bytes > max_bytes:
+            raise BodyTooLarge(f"the answer is over {max_bytes} bytes")
         pieces.append(piece)
     return b"".join(pieces)
--- a/libs/objects/gypsumusher_objects/repeats.py
+++ b/libs/objects/gypsumusher_objects/retries.py
@@ -3,7 +3,7 @@
 import aiohttp
 
 
-def forbid_repeats(session: aiohttp.ClientSession) -> None:
+def disable_retries(session: aiohttp.ClientSession) -> None:
     """Switch off aiohttp's silent repeat of GET, PUT and DELETE.
 
     Parameters
--- a/libs/objects/gypsumusher_objects/types.py
+++ b/libs/objects/gypsumusher_objects/types.py
@@ -3,14 +3,14 @@
 from typing import Any, NamedTuple
 
 
-class Stored(NamedTuple):
+class VersionedValue(NamedTuple):
     """State of one object: its version (the store's revision, > 0) and value."""
 
     version: int
     value: Any
 
 
-class Item(NamedTuple):
+class PlatformObject(NamedTuple):
     """One object of a listing or a watch."""
 
     kind: str
@@ -23,14 +23,14 @@
     """All objects of a kind, and the revision to watch them from."""
 
     revision: int
-    items: list[Item]
+    items: list[PlatformObject]
 
 
-class Change(NamedTuple):
+class WatchResult(NamedTuple):
     """What changed in a kind since a revision; empty when a watch timed out."""
 
     revision: int
-    items: list[Item]
+    items: list[PlatformObject]
     deleted: list[str]
 
 
--- a/libs/objects/tests/test_budget.py
+++ b/libs/objects/tests/test_budget.py
@@ -83,7 +83,7 @@
 
 
 def test_calls_saved_up_in_an_outage_are_gone_when_it_ends():
-    budget = make_budget(reads_per_s=100.0, longest_backoff_s=0.0)
+    budget = make_budget(reads_per_s=100.0, max_backoff_s=0.0)
     budget.on_failure(1.0, 1.0)
     assert budget.take(1.0, READ) > 0.0
     let_through = 0
--- a/libs/objects/tests/test_client.py
+++ b/libs/objects/tests/test_client.py
@@ -12,16 +12,16 @@
 from gypsumusher_objects import (
     BudgetLimits,
     CallBudget,
-    Change,
-    Item,
     ListedHost,
     Listing,
     PlatformClient,
-    Stored,
+    PlatformObject,
+    VersionedValue,
+    WatchResult,
 )
 
 FAST = BudgetLimits(
-    writes_per_s=1e4, reads_per_s=1e4, first_backoff_s=0.0, longest_backoff_s=0.0
+    writes_per_s=1e4, reads_per_s=1e4, initial_backoff_s=0.0, max_backoff_s=0.0
 )
 
 
@@ -126,15 +126,15 @@
 
     async def run():
         async with web_server(handler) as port, client_of(port) as client:
-            item = Item("k", "a/b", 4, {"x": 1})
-            assert await client.read("k", "a/b") == Success(Stored(4, {"x": 1}))
+            item = PlatformObject("k", "a/b", 4, {"x": 1})
+            assert await client.read("k", "a/b") == Success(VersionedValue(4, {"x": 1}))
             assert await client.write("k", "a/b", [1], 3) == Success(4)
             assert await client.delete("k", "a/b", 3) == Success(4)
             assert await client.list("k") == Success(Listing(8, [item]))
             change = await client.watch("k", 7, 0.5, name="n")
-            assert change == Success(Change(9, [item], ["c"]))
+            assert change == Success(WatchResult(9, [item], ["c"]))
             host = ListedHost("e", "engine", "d", "h:1", "z", "r", "live")
-            assert await client.hosts() == Success([host])
+            assert await client.list_hosts() == Success([host])
             assert client.calls == {"GET": 3, "PUT": 1, "DELETE": 1, "WATCH": 1}
 
     asyncio.run(run())
@@ -190,7 +190,7 @@
         assert (error.kind, error.sent) == (kind, sent)
         assert error.step == "PUT /v1/objects/k/n"
         assert error.peer == client.urls[0]
-        assert (error.stored == Stored(7, {"a": 1})) == (kind == "conflict")
+        assert (error.stored == VersionedValue(7, {"a": 1})) == (kind == "conflict")
         assert (error.retry_after_s == 3.0) == (kind == "throttled")
         assert server.requests == ["PUT"]
 
--- a/libs/peers/gypsumusher_peers/link.py
+++ b/libs/peers/gypsumusher_peers/client.py
@@ -22,8 +22,8 @@
 CONNECT_TIMEOUT_S = 2.0
 FRAME_TIMEOUT_S = 10.0
 MAX_OUTSTANDING = 64
-BACKOFF_FIRST_S = 0.05
-BACKOFF_LIMIT_S = 2.0
+INITIAL_BACKOFF_S = 0.05
+MAX_BACKOFF_S = 2.0
 # What a peer that reads slowly may leave unsent before requests are refused.
 UNSENT_LIMIT_BYTES = 4 * FRAME_LIMIT_BYTES
 
@@ -47,7 +47,7 @@
         return self.writer.transport.get_write_buffer_size()
 
 
-class PeerLink:
+class PeerClient:
     """Requests to one peer over one connection.
 
     Parameters
@@ -68,11 +68,11 @@
         Longest connect and handshake, each, and longest time for one frame.
     max_outstanding : int
         Bound on unanswered requests; more are refused at once.
-    backoff_first_s, backoff_limit_s : float
+    initial_backoff_s, max_backoff_s : float
         Wait before the second try to connect, doubled up to the limit.
-    limit_bytes : int
+    max_message_bytes : int
         Largest message.
-    draw : callable
+    random_float : callable
         Gives a number from [0, 1) for the back-off's jitter.
     """
 
@@ -88,10 +88,10 @@
         connect_timeout_s=CONNECT_TIMEOUT_S,
         frame_timeout_s=FRAME_TIMEOUT_S,
         max_outstanding=MAX_OUTSTANDING,
-        backoff_first_s=BACKOFF_FIRST_S,
-        backoff_limit_s=BACKOFF_LIMIT_S,
-        limit_bytes=FRAME_LIMIT_BYTES,
-        draw=random.random,
+        initial_backoff_s=INITIAL_BACKOFF_S,
+        max_backoff_s=MAX_BACKOFF_S,
+        max_message_bytes=FRAME_LIMIT_BYTES,
+        random_float=random.random,
     ):
         self._ip = ip
         self._port = port
@@ -102,10 +102,10 @@
         self._connect_timeout_s = connect_timeout_s
         self._frame_timeout_s = frame_timeout_s
         self._max_outstanding = max_outstanding
-        self._backoff_first_s = backoff_first_s
-        self._backoff_limit_s = backoff_limit_s
-        self._limit_bytes = limit_bytes
-        self._draw = draw
+        self._initial_backoff_s = initial_backoff_s
+        self._max_backoff_s = max_backoff_s
+        self._max_message_bytes = max_message_bytes
+        self._random_float = random_float
         self._task = None
         self._connection = None
         self._connected = asyncio.Event()
@@ -173,7 +173,7 @@
         body = {"id": request_id, "request": message}
         try:
             write_message(
-                connection.writer, connection.session, body, self._limit_bytes
+                connection.writer, connection.session, body, self._max_message_bytes
             )
         except ProtocolFault as fault:
             return self._failure(fault.kind, "request", False, fault.detail)
@@ -212,20 +212,20 @@
         connection = self._connection
         if connection is None or connection.answers:
             return
-        if connection.session.key_id == self._keys.signing.key_id:
+        if connection.session.key_id == self._keys.signing_key.key_id:
             return
         connection.writer.close()
 
     async def _keep_connected(self):
-        backoff_s = self._backoff_first_s
+        backoff_s = self._initial_backoff_s
         while True:
             started = await self._connect()
             if started:
-                backoff_s = self._backoff_first_s
+                backoff_s = self._initial_backoff_s
             # The jitter keeps a cell's hosts from coming back to a restarted peer
             # all at once.
-            await asyncio.sleep(backoff_s * (0.5 + self._draw() / 2))
-            backoff_s = min(backoff_s * 2, self._backoff_limit_s)
+            await asyncio.sleep(backoff_s * (0.5 + self._random_float() / 2))
+            backoff_s = min(backoff_s * 2, self._max_backoff_s)
 
     async def _connect(self):
         """Connect once and read until the connection ends; return if it opened."""
@@ -274,7 +274,7 @@
             message = await read_message(
                 connection.reader,
                 connection.session,
-                self._limit_bytes,
+                self._max_message_bytes,
                 None,
                 self._frame_timeout_s,
             )
--- a/libs/peers/gypsumusher_peers/keys.py
+++ b/libs/peers/gypsumusher_peers/keys.py
@@ -37,7 +37,7 @@
         self._keys = checked_keys(keys)
 
     @property
-    def signing(self):
+    def signing_key(self):
         """The `PeerKey` under which new connections are opened."""
         return next(iter(self._keys.values()))
 
--- a/libs/peers/gypsumusher_peers/server.py
+++ b/libs/peers/gypsumusher_peers/server.py
@@ -20,8 +20,8 @@
 MAX_CONNECTIONS = 256
 # Unauthenticated connections hold a buffer of a few kilobytes each; the bound keeps a
 # stranger from taking the peers' share.
-MAX_HANDSHAKES = 64
-MAX_RUNNING = 64
+MAX_PENDING_HANDSHAKES = 64
+MAX_CONCURRENT_REQUESTS = 64
 HANDSHAKE_TIMEOUT_S = 3.0
 FRAME_TIMEOUT_S = 10.0
 IDLE_TIMEOUT_S = 300.0
@@ -44,10 +44,10 @@
     handshake_timeout_s, frame_timeout_s, idle_timeout_s : float
         Longest handshake, longest time for one frame once begun, and longest silence
         of an authenticated peer.
-    max_connections, max_handshakes, max_running : int
+    max_connections, max_pending_handshakes, max_concurrent_requests : int
         Bounds on open connections, on those not yet authenticated, and on the
         requests of one connection that run at once.
-    limit_bytes : int
+    max_message_bytes : int
         Largest message.
     """
 
@@ -62,9 +62,9 @@
         frame_timeout_s=FRAME_TIMEOUT_S,
         idle_timeout_s=IDLE_TIMEOUT_S,
         max_connections=MAX_CONNECTIONS,
-        max_handshakes=MAX_HANDSHAKES,
-        max_running=MAX_RUNNING,
-        limit_bytes=FRAME_LIMIT_BYTES,
+        max_pending_handshakes=MAX_PENDING_HANDSHAKES,
+        max_concurrent_requests=MAX_CONCURRENT_REQUESTS,
+        max_message_bytes=FRAME_LIMIT_BYTES,
     ):
         self._identity = identity
         self._keys = keys
@@ -74,9 +74,9 @@
         self._frame_timeout_s = frame_timeout_s
         self._idle_timeout_s = idle_timeout_s
         self._max_connections = max_connections
-        self._max_handshakes = max_handshakes
-        self._max_running = max_running
-        self._limit_bytes = limit_bytes
+        self._max_pending_handshakes = max_pending_handshakes
+        self._max_concurrent_requests = max_concurrent_requests
+        self._max_message_bytes = max_message_bytes
         self._server = None
         self._connections = set()
         self._handshakes = 0
@@ -119,7 +119,7 @@
     def _is_full(self):
         if len(self._connections) >= self._max_connections:
             return True
-        return self._handshakes >= self._max_handshakes
+        return self._handshakes >= self._max_pending_handshakes
 
     async def _serve_peer(self, reader, writer, peer):
         self._handshakes += 1
@@ -141,7 +141,7 @@
 
     async def _serve_session(self, reader, writer, session):
         running = set()
-        free = asyncio.Semaphore(self._max_running)
+        free = asyncio.Semaphore(self._max_concurrent_requests)
         try:
             while True:
                 # Not reading is the backpressure on a peer that asks too fast.
@@ -162,7 +162,7 @@
         message = await read_message(
             reader,
             session,
-            self._limit_bytes,
+            self._max_message_bytes,
             self._idle_timeout_s,
             self._frame_timeout_s,
         )
@@ -200,11 +200,11 @@
 
     def _write(self, writer, session, answer):
         try:
-            write_message(writer, session, answer, self._limit_bytes)
+            write_message(writer, session, answer, self._max_message_bytes)
         except ProtocolFault as fault:
             self._report(fault.kind, "write", session.peer.host, fault.detail)
             error = {"id": answer["id"], "error": fault.kind}
-            write_message(writer, session, error, self._limit_bytes)
+            write_message(writer, session, error, self._max_message_bytes)
 
     def _report(self, kind, step, peer, detail):
         self._on_error(PeerError(kind, step, peer, False, detail))
--- a/libs/peers/gypsumusher_peers/wire.py
+++ b/libs/peers/gypsumusher_peers/wire.py
@@ -83,7 +83,7 @@
     ProtocolFault
         If it fails or takes longer than `timeout_s`.
     """
-    key = keys.signing
+    key = keys.signing_key
     hello = Hello(key.key_id, identity, secrets.token_bytes(NONCE_BYTES))
     writer.write(frame(make_hello(key.key_id, identity, hello.nonce)))
     payload = await read_payload(reader, HANDSHAKE_LIMIT_BYTES, timeout_s, timeout_s)
--- a/libs/peers/tests/test_handshake.py
+++ b/libs/peers/tests/test_handshake.py
@@ -22,8 +22,8 @@
 
 OPENING = Identity("host-a", "incarnation-a")
 ANSWERING = Identity("host-b", "incarnation-b")
-KEY = KeyRing([("k1", "a secret of enough bytes")]).signing
-OTHER_KEY = KeyRing([("k1", "another secret of bytes")]).signing
+KEY = KeyRing([("k1", "a secret of enough bytes")]).signing_key
+OTHER_KEY = KeyRing([("k1", "another secret of bytes")]).signing_key
 NONCE_A = b"a" * 32
 NONCE_B = b"b" * 32
 HELLO = Hello("k1", OPENING, NONCE_A)
--- a/libs/peers/tests/test_keys.py
+++ b/libs/peers/tests/test_keys.py
@@ -9,7 +9,7 @@
 
 def test_the_first_key_signs_and_all_verify():
     ring = KeyRing([("k1", SECRET), ("k2", SECRET.encode())])
-    assert ring.signing.key_id == "k1"
+    assert ring.signing_key.key_id == "k1"
     assert ring.find("k2").secret == SECRET.encode()
     assert ring.find("k3") is None
 
@@ -17,7 +17,7 @@
 def test_replace_puts_other_keys_in_force():
     ring = KeyRing([("k1", SECRET)])
     ring.replace([("k2", SECRET), ("k1", SECRET)])
-    assert ring.signing.key_id == "k2"
+    assert ring.signing_key.key_id == "k2"
     assert ring.find("k1") is not None
 
 
@@ -33,4 +33,4 @@
     ring = KeyRing([("k0", SECRET)])
     with pytest.raises(ValueError, match=problem):
         ring.replace(keys)
-    assert ring.signing.key_id == "k0"
+    assert ring.signing_key.key_id == "k0"
--- a/libs/peers/tests/test_link.py
+++ b/libs/peers/tests/test_peer_client.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 from returns.pipeline import is_successful
 
-from gypsumusher_peers import Identity, KeyRing, PeerLink, PeerServer
+from gypsumusher_peers import Identity, KeyRing, PeerClient, PeerServer
 from gypsumusher_peers.errors import ProtocolFault
 from gypsumusher_peers.framing import FRAME_LIMIT_BYTES, frame, pack, unpack
 from gypsumusher_peers.handshake import make_hello
@@ -58,7 +58,7 @@
         return self.errors[-1]
 
     async def link(self, keys=None, **options):
-        link = PeerLink(IP, self.port, HERE, keys or KeyRing([OLD]), **options)
+        link = PeerClient(IP, self.port, HERE, keys or KeyRing([OLD]), **options)
         await link.start()
         self.links.append(link)
         return link
@@ -124,7 +124,7 @@
             fixture.hold.set()
             assert is_successful(await held)
             await fixture.server.close()
-            unreachable = PeerLink(IP, fixture.port, HERE, KeyRing([OLD]))
+            unreachable = PeerClient(IP, fixture.port, HERE, KeyRing([OLD]))
             await unreachable.start()
             fixture.links.append(unreachable)
             down = await unreachable.request({}, 0.2)
@@ -159,7 +159,7 @@
 
     async def run():
         # With one request running the server reads no more, as if it were paused.
-        async with Fixture(max_running=1) as fixture:
+        async with Fixture(max_concurrent_requests=1) as fixture:
             link = await fixture.link()
             lost = await link.request({"hold": True}, 0.2)
             assert lost.failure().kind == "timeout"
@@ -343,7 +343,7 @@
         server = await asyncio.start_server(answer, IP, 0)
         port = server.sockets[0].getsockname()[1]
         errors = []
-        link = PeerLink(IP, port, HERE, KeyRing([OLD]), on_error=errors.append)
+        link = PeerClient(IP, port, HERE, KeyRing([OLD]), on_error=errors.append)
         await link.start()
         refused = await link.request({}, 0.3)
         assert not refused.failure().sent
--- a/soak/callers.py
+++ b/soak/callers.py
@@ -8,7 +8,7 @@
 from checks import PATIENCE_S
 from records import ANY_TIMES, EVENTS, ONCE, STREAM, Outcome, body_of, event_of
 
-from gypsumusher_objects import forbid_repeats
+from gypsumusher_objects import disable_retries
 
 __all__ = ["Caller"]
 
@@ -58,7 +58,7 @@
             total=GIVES_UP_S, sock_connect=CONNECT_TIMEOUT_S
         )
         self._session = aiohttp.ClientSession(timeout=timeout)
-        forbid_repeats(self._session)
+        disable_retries(self._session)
         self._task = asyncio.ensure_future(self._run())
 
     async def close(self):
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -13,7 +13,7 @@
 from testkit import FAST_SETTINGS, Fleet, merged, wait_until
 from yaml import safe_dump
 
-from gypsumusher_peers import Identity, KeyRing, PeerLink
+from gypsumusher_peers import Identity, KeyRing, PeerClient
 from gypsumusher_standins import expected_text
 
 pytestmark = pytest.mark.processes
@@ -217,7 +217,7 @@
             ip, port = hosts[0].addresses["peers"].split(":")
             keys = KeyRing([("k1", "not the secret of the test hosts")])
             stranger = Identity("h2", "made-up")
-            link = PeerLink(ip, int(port), stranger, keys)
+            link = PeerClient(ip, int(port), stranger, keys)
             await link.start()
             result = await link.request({"type": "gossip", "config": 99}, 0.5)
             error = result.failure()
@@ -248,7 +248,7 @@
             hosts, _ = await fleet.start_system(hosts=1, engines=1)
             ip, port = hosts[0].addresses["peers"].split(":")
             key = FAST_SETTINGS["peers"]["keys"][0]
-            link = PeerLink(
+            link = PeerClient(
                 ip,
                 int(port),
                 Identity("h9", "made-up"),
--- a/tools/testkit.py
+++ b/tools/testkit.py
@@ -13,7 +13,7 @@
 from processes import Process
 
 from gypsumusher_coordination.config_sections import content_hash, split_document
-from gypsumusher_objects import forbid_repeats
+from gypsumusher_objects import disable_retries
 from gypsumusher_standins import prompt_digest
 
 PLATFORM_TOKEN = "platform-token"
@@ -331,7 +331,7 @@
         connector = aiohttp.TCPConnector(limit=0, force_close=True)
         timeout = aiohttp.ClientTimeout(total=CALL_TIMEOUT_S)
         self.session = aiohttp.ClientSession(connector=connector, timeout=timeout)
-        forbid_repeats(self.session)
+        disable_retries(self.session)
         return self
 
     async def __aexit__(self, kind, error, trace):
