--- a/libs/daemon/gypsumusher_daemon/attempts.py
+++ b/libs/daemon/gypsumusher_daemon/attempts.py
@@ -6,7 +6,7 @@
 
 import aiohttp
 
-from gypsumusher_daemon.engine_answers import (
+from gypsumusher_daemon.engine_responses import (
     NOT_RUN_CODES,
     AnswerProblem,
     StreamChecker,
--- a/libs/daemon/gypsumusher_daemon/configuration.py
+++ b/libs/daemon/gypsumusher_daemon/configuration.py
@@ -18,7 +18,7 @@
     PatchUnknown,
     check_document,
 )
-from gypsumusher_daemon.effects import MachineRunner
+from gypsumusher_daemon.machine_runner import MachineRunner
 
 __all__ = ["HEAD_KIND", "HEAD_NAME", "SECTION_KIND", "Configuration"]
 
--- a/libs/daemon/gypsumusher_daemon/host.py
+++ b/libs/daemon/gypsumusher_daemon/host.py
@@ -6,9 +6,8 @@
 
 from returns.result import Success
 
-from gypsumusher_daemon.abandoned import AbandonedStreams
-from gypsumusher_daemon.callers import create_callers_app, is_busy
-from gypsumusher_daemon.cell import LEAVING, LIVE, SUSPECT, Cell
+from gypsumusher_daemon.abandoned_streams import AbandonedStreams
+from gypsumusher_daemon.caller_routes import create_callers_app, is_busy
 from gypsumusher_daemon.cell_members import own_deployments
 from gypsumusher_daemon.clock import boot_time_s
 from gypsumusher_daemon.configuration import Configuration
@@ -16,20 +15,21 @@
 from gypsumusher_daemon.dispatch import Dispatcher
 from gypsumusher_daemon.endpoints import EndpointTable
 from gypsumusher_daemon.engine_sessions import EngineSessions
-from gypsumusher_daemon.exchanges import ExchangeContext
 from gypsumusher_daemon.forwarding import Forwarder
 from gypsumusher_daemon.hosts_directory import HostRecord, HostsDirectory
 from gypsumusher_daemon.journals import Journals, journal_policy, new_incarnation
-from gypsumusher_daemon.keyed_flow import KeyedFlow
 from gypsumusher_daemon.keyed_requests import KeyedRequests
+from gypsumusher_daemon.keyed_routing import KeyedFlow
 from gypsumusher_daemon.metrics import Metrics
-from gypsumusher_daemon.operators import create_operators_app
-from gypsumusher_daemon.peer_news import PeerNews
+from gypsumusher_daemon.operator_routes import create_operators_app
+from gypsumusher_daemon.peer_messages import PeerNews
+from gypsumusher_daemon.peer_network import LEAVING, LIVE, SUSPECT, Cell
 from gypsumusher_daemon.readiness import STARTING, STOPPED, Readiness
-from gypsumusher_daemon.reports import ReportPoller
-from gypsumusher_daemon.request_flows import RequestFlows
-from gypsumusher_daemon.requests_log import RequestsLog
-from gypsumusher_daemon.service_flow import ServiceFlow
+from gypsumusher_daemon.report_poller import ReportPoller
+from gypsumusher_daemon.request_execution import ExchangeContext
+from gypsumusher_daemon.request_history import RequestsLog
+from gypsumusher_daemon.request_runner import RequestFlows
+from gypsumusher_daemon.service_requests import ServiceFlow
 from gypsumusher_daemon.services import Services
 from gypsumusher_daemon.stewards import Stewards
 from gypsumusher_objects import BudgetLimits, CallBudget, PlatformClient
--- a/libs/daemon/gypsumusher_daemon/host_views.py
+++ b/libs/daemon/gypsumusher_daemon/host_views.py
@@ -2,8 +2,8 @@
 
 import time
 
-from gypsumusher_daemon.cell import LEAVING, LIVE
 from gypsumusher_daemon.cell_members import cell_of
+from gypsumusher_daemon.peer_network import LEAVING, LIVE
 from gypsumusher_daemon.readiness import STOPPED
 from gypsumusher_policy import choose_cell, choose_entry_hosts
 
--- a/libs/daemon/gypsumusher_daemon/journals.py
+++ b/libs/daemon/gypsumusher_daemon/journals.py
@@ -14,8 +14,8 @@
     OwnJournalSealed,
     PeerJournalSealed,
 )
-from gypsumusher_daemon.effects import MachineRunner
 from gypsumusher_daemon.key_signatures import is_genuine, sign_parts
+from gypsumusher_daemon.machine_runner import MachineRunner
 
 __all__ = ["Journals", "journal_policy", "new_incarnation"]
 
--- a/libs/daemon/gypsumusher_daemon/peer_news.py
+++ b/libs/daemon/gypsumusher_daemon/peer_messages.py
@@ -2,9 +2,9 @@
 
 import asyncio
 
-from gypsumusher_daemon.cell import CellParts
 from gypsumusher_daemon.cell_members import gossip_hosts
 from gypsumusher_daemon.hosts_directory import HostRecord
+from gypsumusher_daemon.peer_network import CellParts
 
 __all__ = ["PeerNews"]
 
--- a/libs/daemon/gypsumusher_daemon/readiness.py
+++ b/libs/daemon/gypsumusher_daemon/readiness.py
@@ -1,7 +1,7 @@
 """Whether this host may take new requests, and if not, why."""
 
 from gypsumusher_coordination import last_contact_s, may_serve
-from gypsumusher_daemon.cell import LIVE
+from gypsumusher_daemon.peer_network import LIVE
 from gypsumusher_daemon.refusals import Refusal
 
 __all__ = ["STARTING", "STOPPED", "Readiness"]
--- a/libs/daemon/gypsumusher_daemon/request_flows.py
+++ b/libs/daemon/gypsumusher_daemon/request_runner.py
@@ -4,10 +4,10 @@
 import secrets
 
 from gypsumusher_daemon.delivery import Delivery
-from gypsumusher_daemon.exchanges import Exchange
 from gypsumusher_daemon.refusals import Refusal
-from gypsumusher_daemon.resuming import begin_resume
-from gypsumusher_daemon.service_flow import read_service_call, service_fingerprint
+from gypsumusher_daemon.request_execution import Exchange
+from gypsumusher_daemon.service_requests import read_service_call, service_fingerprint
+from gypsumusher_daemon.stream_resume import begin_resume
 
 __all__ = ["RequestFlows", "Running"]
 
--- a/libs/daemon/gypsumusher_daemon/service_flow.py
+++ b/libs/daemon/gypsumusher_daemon/service_requests.py
@@ -4,9 +4,9 @@
 import hashlib
 
 from gypsumusher_daemon.delivery import Delivery
-from gypsumusher_daemon.exchanges import deliver_refusal
 from gypsumusher_daemon.forwarding import FORWARDED_HEADER
 from gypsumusher_daemon.refusals import Refusal
+from gypsumusher_daemon.request_execution import deliver_refusal
 from gypsumusher_daemon.services import ServiceCall
 
 __all__ = ["ServiceFlow", "read_service_call", "service_fingerprint"]
--- a/libs/daemon/gypsumusher_daemon/stewards.py
+++ b/libs/daemon/gypsumusher_daemon/stewards.py
@@ -15,7 +15,7 @@
 )
 from gypsumusher_daemon.cell_members import cell_of
 from gypsumusher_daemon.dispatch import deployment_policy
-from gypsumusher_daemon.effects import MachineRunner
+from gypsumusher_daemon.machine_runner import MachineRunner
 from gypsumusher_daemon.order_sender import OrderSender
 from gypsumusher_policy import (
     RoleChangePlanner,
--- a/libs/daemon/gypsumusher_daemon/resuming.py
+++ b/libs/daemon/gypsumusher_daemon/stream_resume.py
@@ -4,7 +4,7 @@
 
 from gypsumusher_daemon.attempts import relay_stream
 from gypsumusher_daemon.delivery import Delivery
-from gypsumusher_daemon.engine_answers import StreamChecker
+from gypsumusher_daemon.engine_responses import StreamChecker
 from gypsumusher_daemon.refusals import Refusal, refusal_body
 from gypsumusher_daemon.resume_tokens import read_token, write_token
 
--- a/libs/daemon/tests/test_engine_answers.py
+++ b/libs/daemon/tests/test_engine_responses.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from gypsumusher_daemon.engine_answers import (
+from gypsumusher_daemon.engine_responses import (
     AnswerProblem,
     StreamChecker,
     check_whole_answer,
