--- a/libs/cli/gypsumusher_cli/__init__.py
+++ b/libs/cli/gypsumusher_cli/__init__.py
@@ -1,17 +1,23 @@
 """The gypsumusher command-line tool and its load generator."""
 
 from gypsumusher_cli.errors import CommandError, FileProblem, InputError
-from gypsumusher_cli.loadmix import Arrival, Mix, check_mix, plan_arrivals, read_mix
-from gypsumusher_cli.loadreport import (
+from gypsumusher_cli.load_generator import LoadOptions, Outcome, Progress, run_load
+from gypsumusher_cli.load_report import (
     Report,
     compare_reports,
-    format_table,
-    load_report,
-    mark_doubled,
+    format_report,
+    mark_duplicate_runs,
+    read_report,
     save_report,
     summarize,
 )
-from gypsumusher_cli.loadrun import LoadOptions, Outcome, Progress, run_load
+from gypsumusher_cli.load_spec import (
+    Arrival,
+    LoadSpec,
+    parse_load_spec,
+    plan_arrivals,
+    read_load_spec,
+)
 
 __all__ = [
     "Arrival",
@@ -19,17 +25,17 @@
     "FileProblem",
     "InputError",
     "LoadOptions",
-    "Mix",
+    "LoadSpec",
     "Outcome",
     "Progress",
     "Report",
-    "check_mix",
+    "parse_load_spec",
     "compare_reports",
-    "format_table",
-    "load_report",
-    "mark_doubled",
+    "format_report",
+    "read_report",
+    "mark_duplicate_runs",
     "plan_arrivals",
-    "read_mix",
+    "read_load_spec",
     "run_load",
     "save_report",
     "summarize",
--- a/libs/cli/gypsumusher_cli/commands.py
+++ b/libs/cli/gypsumusher_cli/command_base.py
@@ -116,7 +116,7 @@
     return answer
 
 
-def body_of(answer):
+def require_ok_body(answer):
     """Return the body of an answer that must be 200.
 
     Raises
--- a/libs/cli/gypsumusher_cli/config_commands.py
+++ b/libs/cli/gypsumusher_cli/config_commands.py
@@ -10,17 +10,17 @@
 from cleo.helpers import argument, option
 from returns.result import Failure
 
-from gypsumusher_cli.commands import (
+from gypsumusher_cli.command_base import (
     ACCESS_OPTIONS,
     HTTP_OK,
     JSON_OPTION,
     OperatorsCommand,
-    body_of,
     describe_error,
+    require_ok_body,
     unwrap,
 )
 from gypsumusher_cli.errors import CommandError, InputError
-from gypsumusher_cli.loadreport import align
+from gypsumusher_cli.load_report import align
 
 HTTP_CONFLICT = 409
 HTTP_INVALID = 422
@@ -80,7 +80,7 @@
 async def read_config(client, number=None):
     """Return the number and the document of the configuration in force."""
     path = "/admin/config" if number is None else f"/admin/config?number={number}"
-    return body_of(unwrap(await client.call("GET", path)))
+    return require_ok_body(unwrap(await client.call("GET", path)))
 
 
 async def send_patch(client, base_number, patch, author, note, patch_id=None):
@@ -205,7 +205,7 @@
         )
         problems = answer.body.get("problems")
         if problems is None:
-            body_of(answer)
+            require_ok_body(answer)
         if problems:
             raise InputError(f"{path} can't be used:\n{format_problems(problems)}")
         self.say(f"{path}: no problems")
@@ -279,7 +279,7 @@
     async def operate_with(self, client):
         """Read and print the history."""
         answer = unwrap(await client.call("GET", "/admin/config/history"))
-        body = body_of(answer)
+        body = require_ok_body(answer)
         if self.option("json"):
             self.say(json.dumps(body, indent=2))
             return
--- a/libs/cli/gypsumusher_cli/drain_commands.py
+++ b/libs/cli/gypsumusher_cli/drain_commands.py
@@ -4,11 +4,11 @@
 
 from cleo.helpers import argument, option
 
-from gypsumusher_cli.commands import (
+from gypsumusher_cli.command_base import (
     ACCESS_OPTIONS,
     OperatorsCommand,
-    body_of,
     read_statuses,
+    require_ok_body,
     unwrap,
 )
 from gypsumusher_cli.config_commands import (
@@ -134,7 +134,7 @@
         """Change the configuration and wait for the work to end."""
         name = self.argument("name")
         timeout_s = _seconds(self.option("timeout-s"))
-        status = body_of(unwrap(await client.call("GET", "/admin/status")))
+        status = require_ok_body(unwrap(await client.call("GET", "/admin/status")))
         path = self.find_path(status, name)
         undo = self.option("undo")
         number = await change_drain(client, path, name, undo, self.option("note"))
--- a/libs/cli/gypsumusher_cli/load_commands.py
+++ b/libs/cli/gypsumusher_cli/load_commands.py
@@ -5,17 +5,17 @@
 from cleo.helpers import argument, option
 
 from gypsumusher_cli.access import require_callers
-from gypsumusher_cli.commands import ACCESS_OPTIONS, ToolCommand
+from gypsumusher_cli.command_base import ACCESS_OPTIONS, ToolCommand
 from gypsumusher_cli.errors import CommandError
-from gypsumusher_cli.loadmix import read_mix
-from gypsumusher_cli.loadreport import (
+from gypsumusher_cli.load_generator import LoadOptions, run_load
+from gypsumusher_cli.load_report import (
     compare_reports,
-    format_table,
-    load_report,
+    format_report,
+    read_report,
     save_report,
     summarize,
 )
-from gypsumusher_cli.loadrun import LoadOptions, run_load
+from gypsumusher_cli.load_spec import read_load_spec
 
 
 def format_progress(progress):
@@ -45,7 +45,7 @@
         """Run the load; fail when an answer was lost or wrong."""
         access = self.access()
         require_callers(access)
-        mix = read_mix(self.argument("file"))
+        mix = read_load_spec(self.argument("file"))
         loop = asyncio.get_running_loop()
         started_s = loop.time()
         outcomes = await run_load(
@@ -54,12 +54,13 @@
             None if self.option("no-progress") else self._show,
         )
         report = summarize(mix, outcomes, loop.time() - started_s)
-        self.say(format_table(report))
+        self.say(format_report(report))
         if self.option("save"):
             save_report(report, self.option("save"))
-        if report.faults():
+        if report.fault_count():
             raise CommandError(
-                f"{report.faults()} answers were lost, doubled, incomplete or crossed",
+                f"{report.fault_count()} answers were lost, doubled, "
+                "incomplete or crossed",
                 "look the requests up with `gypsumusher explain`",
             )
 
@@ -79,6 +80,6 @@
 
     async def operate(self):
         """Read both reports and print the table."""
-        before = load_report(self.argument("before"))
-        after = load_report(self.argument("after"))
+        before = read_report(self.argument("before"))
+        after = read_report(self.argument("after"))
         self.say(compare_reports(before, after))
--- a/libs/cli/gypsumusher_cli/loadrun.py
+++ b/libs/cli/gypsumusher_cli/load_generator.py
@@ -13,9 +13,9 @@
 
 import aiohttp
 
-from gypsumusher_cli.loadanswer import AnswerChecker
-from gypsumusher_cli.loadentry import EntryCache
-from gypsumusher_cli.loadmix import make_prompt, plan_arrivals
+from gypsumusher_cli.entry_cache import EntryCache
+from gypsumusher_cli.load_spec import make_prompt, plan_arrivals
+from gypsumusher_cli.response_checker import AnswerChecker
 
 CONNECT_TIMEOUT_S = 2.0
 # How long after its deadline a request may still end before it counts as lost.
@@ -124,7 +124,7 @@
 
     Parameters
     ----------
-    mix : Mix
+    mix : LoadSpec
         The load.
     options : LoadOptions
         Where it goes.
@@ -484,7 +484,7 @@
 
     Parameters
     ----------
-    mix : Mix
+    mix : LoadSpec
         The load.
     options : LoadOptions
         Where it goes.
--- a/libs/cli/gypsumusher_cli/loadreport.py
+++ b/libs/cli/gypsumusher_cli/load_report.py
@@ -46,7 +46,7 @@
     classes: tuple[ClassReport, ...]
     role_changes: int | None
 
-    def faults(self):
+    def fault_count(self):
         """Return how many answers were lost, doubled, incomplete or crossed."""
         total = 0
         for item in self.classes:
@@ -71,7 +71,7 @@
     return histogram.get_value_at_percentile(percentile) / STEPS_PER_S
 
 
-def mark_doubled(outcomes, runs):
+def mark_duplicate_runs(outcomes, runs):
     """Mark the non-idempotent requests that endpoints ran more than once.
 
     Parameters
@@ -101,7 +101,7 @@
 
     Parameters
     ----------
-    mix : Mix
+    mix : LoadSpec
         The load.
     outcomes : list of Outcome
         How each request ended.
@@ -206,7 +206,7 @@
     }
 
 
-def load_report(path):
+def read_report(path):
     """Read a saved report.
 
     Parameters
@@ -247,7 +247,7 @@
     return ClassReport(**{**item, "times": times})
 
 
-def format_table(report):
+def format_report(report):
     """Return the run's table as text: one line a class, then the sums.
 
     Parameters
--- a/libs/cli/gypsumusher_cli/loadmix.py
+++ b/libs/cli/gypsumusher_cli/load_spec.py
@@ -71,7 +71,7 @@
     rates_per_s: dict[str, float]
 
 
-class Mix(NamedTuple):
+class LoadSpec(NamedTuple):
     """A whole load, as read and checked from a file."""
 
     seed: int
@@ -264,7 +264,7 @@
     return Shift(at_s, checked)
 
 
-def check_mix(document, source="load file"):
+def parse_load_spec(document, source="load file"):
     """Check a parsed load description whole.
 
     Parameters
@@ -276,7 +276,7 @@
 
     Returns
     -------
-    Mix
+    LoadSpec
         The load.
 
     Raises
@@ -286,7 +286,7 @@
     """
     checker = _Checker()
     mapping = checker.mapping(document, "the file")
-    checker.only(mapping, "", Mix._fields)
+    checker.only(mapping, "", LoadSpec._fields)
     classes = {
         str(name): _check_class(checker, name, value)
         for name, value in checker.mapping(mapping.get("classes"), "classes").items()
@@ -302,7 +302,7 @@
     if not isinstance(shifts, list):
         checker.add("shifts", f"is {shifts!r}", "write a list")
         shifts = []
-    mix = Mix(
+    mix = LoadSpec(
         seed=checker.number(mapping, "", "seed", 0, 2**63, default=0, whole=True),
         duration_s=checker.number(mapping, "", "duration_s", 0.01, LONGEST_LOAD_S),
         obey_retry_after=checker.flag(mapping, "", "obey_retry_after", True),
@@ -317,7 +317,7 @@
     return mix
 
 
-def read_mix(path):
+def read_load_spec(path):
     """Read and check a load file.
 
     Parameters
@@ -327,7 +327,7 @@
 
     Returns
     -------
-    Mix
+    LoadSpec
         The load.
 
     Raises
@@ -348,7 +348,7 @@
         raise InputError(
             f"load file {path} is not YAML ({place})", "mend that line"
         ) from error
-    return check_mix(document, str(path))
+    return parse_load_spec(document, str(path))
 
 
 def _rate_steps(mix, stream):
@@ -394,7 +394,7 @@
 
     Parameters
     ----------
-    mix : Mix
+    mix : LoadSpec
         The load.
 
     Returns
@@ -414,7 +414,7 @@
 
     Parameters
     ----------
-    mix : Mix
+    mix : LoadSpec
         The load.
     arrival : Arrival
         One of its arrivals.
--- a/libs/cli/gypsumusher_cli/losses_commands.py
+++ b/libs/cli/gypsumusher_cli/losses_commands.py
@@ -4,7 +4,7 @@
 
 from cleo.helpers import argument
 
-from gypsumusher_cli.commands import JSON_OPTION, ToolCommand, read_lines
+from gypsumusher_cli.command_base import JSON_OPTION, ToolCommand, read_lines
 from gypsumusher_cli.losses import find_losses, format_losses
 
 __all__ = ["LossesCommand"]
--- a/libs/cli/gypsumusher_cli/retries_commands.py
+++ b/libs/cli/gypsumusher_cli/retries_commands.py
@@ -4,7 +4,7 @@
 
 from cleo.helpers import argument, option
 
-from gypsumusher_cli.commands import JSON_OPTION, ToolCommand, read_lines
+from gypsumusher_cli.command_base import JSON_OPTION, ToolCommand, read_lines
 from gypsumusher_cli.errors import InputError
 from gypsumusher_cli.retries import find_retries, format_retries
 
--- a/libs/cli/gypsumusher_cli/status_commands.py
+++ b/libs/cli/gypsumusher_cli/status_commands.py
@@ -5,17 +5,17 @@
 from cleo.helpers import argument
 from returns.result import Success
 
-from gypsumusher_cli.commands import (
+from gypsumusher_cli.command_base import (
     ACCESS_OPTIONS,
     JSON_OPTION,
     OperatorsCommand,
-    body_of,
     quoted,
     read_statuses,
+    require_ok_body,
     unwrap,
 )
 from gypsumusher_cli.errors import CommandError
-from gypsumusher_cli.loadreport import align
+from gypsumusher_cli.load_report import align
 
 HTTP_NOT_FOUND = 404
 
@@ -123,8 +123,8 @@
 
     async def operate_with(self, client):
         """Read and print the status, with the stewards of all asked hosts."""
-        status = body_of(unwrap(await client.call("GET", "/admin/status")))
-        config = body_of(unwrap(await client.call("GET", "/admin/config")))
+        status = require_ok_body(unwrap(await client.call("GET", "/admin/status")))
+        config = require_ok_body(unwrap(await client.call("GET", "/admin/config")))
         statuses = await read_statuses(client, self.access().operators)
         status = {**status, "stewards": merge_stewards(statuses)}
         drained = (config["document"].get("hosts") or {}).get("drain") or ()
@@ -154,7 +154,7 @@
         answer = unwrap(result)
         if answer.status == HTTP_NOT_FOUND:
             continue
-        return body_of(answer)
+        return require_ok_body(answer)
     if not answered:
         unwrap(last)
     return None
@@ -217,7 +217,7 @@
         """Ask for the key's outcome."""
         key = self.argument("key")
         answer = unwrap(await client.call("GET", f"/admin/keys/{quoted(key)}"))
-        body = body_of(answer)
+        body = require_ok_body(answer)
         if self.option("json"):
             self.say(json.dumps(body, indent=2))
             return
--- a/libs/cli/tests/test_loadrun.py
+++ b/libs/cli/tests/test_load_generator.py
@@ -5,8 +5,8 @@
 import pytest
 from aiohttp import web
 
-from gypsumusher_cli.loadmix import check_mix
-from gypsumusher_cli.loadrun import LoadOptions, run_load
+from gypsumusher_cli.load_generator import LoadOptions, run_load
+from gypsumusher_cli.load_spec import parse_load_spec
 
 DOCUMENT = {
     "seed": 3,
@@ -124,7 +124,7 @@
             grace_s=1.0,
         )
         try:
-            return await run_load(check_mix(document), options)
+            return await run_load(parse_load_spec(document), options)
         finally:
             await fake.close()
 
--- a/libs/cli/tests/test_loadreport.py
+++ b/libs/cli/tests/test_load_report.py
@@ -1,19 +1,19 @@
 import pytest
 
 from gypsumusher_cli.errors import InputError
-from gypsumusher_cli.loadmix import ClassTarget, Mix
-from gypsumusher_cli.loadreport import (
+from gypsumusher_cli.load_generator import Outcome
+from gypsumusher_cli.load_report import (
     compare_reports,
-    format_table,
-    load_report,
-    mark_doubled,
+    format_report,
+    mark_duplicate_runs,
     percentile_s,
+    read_report,
     save_report,
     summarize,
 )
-from gypsumusher_cli.loadrun import Outcome
+from gypsumusher_cli.load_spec import ClassTarget, LoadSpec
 
-MIX = Mix(7, 10.0, True, {"counter": ClassTarget(1.5, 10.0)}, {}, ())
+MIX = LoadSpec(7, 10.0, True, {"counter": ClassTarget(1.5, 10.0)}, {}, ())
 
 
 def outcome(number, result="served", reason="", on_time=True, non_idempotent=False):
@@ -53,8 +53,8 @@
     assert item.refused == {"overloaded": 1}
     assert item.goodput_per_s == pytest.approx(0.1)
     assert percentile_s(item.times["whole_answer"], 95.0) == pytest.approx(2.0, 0.01)
-    assert report.faults() == 1
-    table = format_table(report)
+    assert report.fault_count() == 1
+    table = format_report(report)
     assert "refused letter-models/counter: overloaded 1" in table
     assert "role changes 2" in table
 
@@ -62,8 +62,8 @@
 def test_a_saved_report_reads_back_with_its_histograms(tmp_path):
     report = summarize(MIX, OUTCOMES, 10.0)
     save_report(report, tmp_path / "report.json")
-    again = load_report(tmp_path / "report.json")
-    assert format_table(again) == format_table(report)
+    again = read_report(tmp_path / "report.json")
+    assert format_report(again) == format_report(report)
     assert "25.0 -> 25.0" in compare_reports(report, again)
 
 
@@ -76,10 +76,10 @@
     (tmp_path / "other.json").write_text('{"format": "x"}')
     for name in ("other.json", "absent.json"):
         with pytest.raises(InputError, match="load run --save"):
-            load_report(tmp_path / name)
+            read_report(tmp_path / name)
 
 
 def test_only_a_non_idempotent_prompt_that_ran_twice_is_doubled():
     outcomes = [outcome(0), outcome(1, non_idempotent=True)]
-    marked = mark_doubled(outcomes, {"f0": 2, "f1": 2})
+    marked = mark_duplicate_runs(outcomes, {"f0": 2, "f1": 2})
     assert [item.result for item in marked] == ["served", "doubled"]
--- a/libs/cli/tests/test_loadmix.py
+++ b/libs/cli/tests/test_load_spec.py
@@ -1,7 +1,12 @@
 import pytest
 
 from gypsumusher_cli.errors import InputError
-from gypsumusher_cli.loadmix import check_mix, make_prompt, plan_arrivals, read_mix
+from gypsumusher_cli.load_spec import (
+    make_prompt,
+    parse_load_spec,
+    plan_arrivals,
+    read_load_spec,
+)
 
 DOCUMENT = {
     "seed": 7,
@@ -22,20 +27,20 @@
 
 
 def test_the_same_seed_draws_the_same_arrivals():
-    mix = check_mix(DOCUMENT)
+    mix = parse_load_spec(DOCUMENT)
     assert plan_arrivals(mix) == plan_arrivals(mix)
     assert plan_arrivals(mix) != plan_arrivals(mix._replace(seed=8))
 
 
 def test_a_shift_changes_the_rate_from_its_time_on():
-    arrivals = plan_arrivals(check_mix(DOCUMENT))
+    arrivals = plan_arrivals(parse_load_spec(DOCUMENT))
     checks = [item.at_s for item in arrivals if item.stream == "checks"]
     assert len(checks) > 20
     assert max(checks) < 10.0
 
 
 def test_prompts_have_their_length_and_differ():
-    mix = check_mix(DOCUMENT)
+    mix = parse_load_spec(DOCUMENT)
     arrivals = plan_arrivals(mix)
     prompts = [make_prompt(mix, item) for item in arrivals]
     assert [len(prompt) for prompt in prompts] == [
@@ -64,7 +69,7 @@
 )
 def test_a_wrong_file_names_each_key_and_its_mend(change, words):
     with pytest.raises(InputError) as raised:
-        check_mix({**DOCUMENT, **change}, "mix.yaml")
+        parse_load_spec({**DOCUMENT, **change}, "mix.yaml")
     assert "mix.yaml can't be used" in str(raised.value)
     assert words in str(raised.value)
 
@@ -74,4 +79,4 @@
     broken.write_text("seed: [")
     for path in (tmp_path / "absent.yaml", broken):
         with pytest.raises(InputError, match=path.name):
-            read_mix(path)
+            read_load_spec(path)
--- a/libs/cli/tests/test_loadanswer.py
+++ b/libs/cli/tests/test_response_checker.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from gypsumusher_cli.loadanswer import AnswerChecker
+from gypsumusher_cli.response_checker import AnswerChecker
 
 
 def event(number, text, answer_id="cmpl-1"):
--- a/tests/test_demo.py
+++ b/tests/test_demo.py
@@ -5,14 +5,14 @@
 import pytest
 from demo import MIX_PATH, run_demo
 
-from gypsumusher_cli import read_mix
+from gypsumusher_cli import read_load_spec
 from gypsumusher_standins import expected_text
 
 SHORT_S = 3.0
 
 
 def run_short(expected):
-    mix = read_mix(MIX_PATH)
+    mix = read_load_spec(MIX_PATH)
     shifts = tuple(shift._replace(at_s=shift.at_s / 4) for shift in mix.shifts)
     short = mix._replace(duration_s=SHORT_S, shifts=shifts)
     return asyncio.run(run_demo(short, expected))
--- a/tools/demo.py
+++ b/tools/demo.py
@@ -8,15 +8,15 @@
 
 from gypsumusher_cli import (
     LoadOptions,
-    format_table,
-    mark_doubled,
-    read_mix,
+    format_report,
+    mark_duplicate_runs,
+    read_load_spec,
     run_load,
     summarize,
 )
 from gypsumusher_cli.access import Access
 from gypsumusher_cli.client import OperatorsClient
-from gypsumusher_cli.commands import body_of
+from gypsumusher_cli.command_base import require_ok_body
 from gypsumusher_cli.config_commands import send_patch
 from gypsumusher_cli.load_commands import format_progress
 from gypsumusher_standins import expected_text
@@ -90,7 +90,7 @@
     await client.start()
     try:
         answer = await send_patch(client, 0, DOCUMENT, "demo", "first configuration")
-        say(f"configuration number {body_of(answer)['number']} is accepted")
+        say(f"configuration number {require_ok_body(answer)['number']} is accepted")
     finally:
         await client.close()
 
@@ -147,7 +147,7 @@
 
     Parameters
     ----------
-    mix : Mix
+    mix : LoadSpec
         The load.
     expected : callable
         The one right text of a prompt and a number of output tokens.
@@ -179,13 +179,15 @@
         runs, role_changes = await count_runs(system)
         say("stopping every process in a planned way")
         failed = await stop_system(system)
-    report = summarize(mix, mark_doubled(outcomes, runs), elapsed_s, role_changes)
+    report = summarize(
+        mix, mark_duplicate_runs(outcomes, runs), elapsed_s, role_changes
+    )
     say("")
-    say(format_table(report))
+    say(format_report(report))
     for name in failed:
         say(f"did not stop in a planned way: {name}")
-    return 1 if failed or report.faults() else 0
+    return 1 if failed or report.fault_count() else 0
 
 
 if __name__ == "__main__":
-    sys.exit(asyncio.run(run_demo(read_mix(MIX_PATH), expected_text)))
+    sys.exit(asyncio.run(run_demo(read_load_spec(MIX_PATH), expected_text)))
--- a/tools/recovery.py
+++ b/tools/recovery.py
@@ -8,8 +8,8 @@
 from demo import add_counts
 from testkit import DEPLOYMENT, Fleet
 
-from gypsumusher_cli import LoadOptions, mark_doubled, run_load
-from gypsumusher_cli.loadmix import check_mix
+from gypsumusher_cli import LoadOptions, mark_duplicate_runs, run_load
+from gypsumusher_cli.load_spec import parse_load_spec
 from gypsumusher_standins import expected_text
 
 OUTPUT = pathlib.Path("build/recovery.jsonl")
@@ -151,7 +151,7 @@
     dict
         Counts of outcomes, the worst wait for a first token, calls to the platform.
     """
-    mix = check_mix(MIX)
+    mix = parse_load_spec(MIX)
     async with Fleet() as fleet:
         platform = await fleet.start_platform()
         await fleet.put_config(
@@ -175,7 +175,7 @@
             if engine.exit_code() is None:
                 add_counts(runs, (await engine.counters())["prompts"])
         calls = (await platform.counters())["calls"]
-    return summarize(failure, mark_doubled(outcomes, runs), calls)
+    return summarize(failure, mark_duplicate_runs(outcomes, runs), calls)
 
 
 def summarize(failure, outcomes, calls):
