--- a/libs/entry/tests/host_harness.py
+++ b/libs/entry/tests/host_harness.py
@@ -5,10 +5,10 @@
 from typing import NamedTuple
 
 import aiohttp
-from platform_samples import configuration, entry
+from platform_samples import sample_configuration, sample_endpoint_entry
 from processes import free_ports
 from proxies import Proxy
-from replies import ScriptedEndpoint, answer_to, request_id_of
+from scripted_endpoint import ScriptedEndpoint, encode_response, request_id_of
 
 from gypsumusher_entry.host import EntryHost
 from gypsumusher_ports import Bounds, HostSettings
@@ -23,8 +23,8 @@
     "HostWithoutStore",
     "HostHarness",
     "ask",
-    "configuration",
-    "entry",
+    "sample_configuration",
+    "sample_endpoint_entry",
     "not_run",
     "host_without_store",
     "run",
@@ -64,10 +64,10 @@
 
     async def __aenter__(self):
         store_address = await self.store.start()
-        self.store.put("config", "main", configuration(1, *self.routes))
+        self.store.put("config", "main", sample_configuration(1, *self.routes))
         for number, endpoint in enumerate(self.endpoints):
             address = await endpoint.start()
-            self.store.put("servers", f"e-{number}", entry(address))
+            self.store.put("servers", f"e-{number}", sample_endpoint_entry(address))
         self.host = EntryHost(settings(store_address), self.log)
         self.addresses = await self.host.start()
         await until(
@@ -108,7 +108,7 @@
     """Reject a request, as an endpoint without room does."""
     extra = ("X-Gypsumusher-Not-Run: 1",)
     status = "503 Service Unavailable"
-    writer.write(answer_to(request_id_of(head), b"", status, extra))
+    writer.write(encode_response(request_id_of(head), b"", status, extra))
 
 
 class HostWithoutStore(NamedTuple):
@@ -144,9 +144,9 @@
     store, blind = ObjectStore(), ObjectStore()
     blind.fault = "refuse"
     address, nowhere = await store.start(), await blind.start()
-    store.put("config", "main", configuration(1, ANY))
+    store.put("config", "main", sample_configuration(1, ANY))
     for number, endpoint_address in enumerate(endpoint_addresses or ["127.0.0.1:9"]):
-        store.put("servers", f"e-{number}", entry(endpoint_address))
+        store.put("servers", f"e-{number}", sample_endpoint_entry(endpoint_address))
     port = free_ports("127.0.0.2", 1)[0]
     lines = []
     seeing = EntryHost(
--- a/libs/entry/tests/test_host.py
+++ b/libs/entry/tests/test_host.py
@@ -11,26 +11,33 @@
     RESUMABLE,
     STREAM,
     HostHarness,
-    configuration,
-    entry,
     not_run,
     run,
+    sample_configuration,
+    sample_endpoint_entry,
     settings,
     until,
 )
 from processes import free_ports
-from replies import ScriptedEndpoint, answer_to, chunk, request_id_of
+from scripted_endpoint import (
+    ScriptedEndpoint,
+    encode_chunk,
+    encode_response,
+    request_id_of,
+)
 
 from gypsumusher_entry.host import EntryHost
 from gypsumusher_standins.object_store import ObjectStore
 
 
 async def well(number, head, body, writer):
-    writer.write(answer_to(request_id_of(head)))
+    writer.write(encode_response(request_id_of(head)))
 
 
 async def broken(number, head, body, writer):
-    writer.write(answer_to(request_id_of(head), b"half", framing="Content-Length: 9"))
+    writer.write(
+        encode_response(request_id_of(head), b"half", framing="Content-Length: 9")
+    )
     writer.close()
 
 
@@ -39,7 +46,9 @@
 
 
 async def failing(number, head, body, writer):
-    writer.write(answer_to(request_id_of(head), b"no", "500 Internal Server Error"))
+    writer.write(
+        encode_response(request_id_of(head), b"no", "500 Internal Server Error")
+    )
 
 
 def test_an_answer_comes_back_as_the_endpoint_made_it():
@@ -170,12 +179,16 @@
     # and named no engine, so that nobody could find the slow one.
     async def scenario():
         async with HostHarness(silent, well, routes=(STREAM,)) as world:
-            content = configuration(2, STREAM)
+            content = sample_configuration(2, STREAM)
             content["services"][0]["engine"] = {"slots": 8}
             world.store.put("config", "main", content)
             states = world.host.context.endpoints.states
             address = states["e-0"].record.address
-            world.store.put("servers", "e-0", entry(address, stage="prefill", beat=9))
+            world.store.put(
+                "servers",
+                "e-0",
+                sample_endpoint_entry(address, stage="prefill", sequence=9),
+            )
             await until(lambda: world.host.context.configuration_version == 2)
             await until(lambda: states["e-0"].record.stage == "prefill")
             asking = world.ask(
@@ -281,12 +294,12 @@
 def test_a_new_configuration_is_in_force_soon_and_an_old_one_never_again():
     async def scenario():
         async with HostHarness(well) as world:
-            world.store.put("config", "main", configuration(5, ANY, ANY))
+            world.store.put("config", "main", sample_configuration(5, ANY, ANY))
             context = world.host.context
             await until(lambda: context.configuration_version == 5)
             assert (await world.ask(path="/1/x"))[0] == 200
-            world.store.put("config", "main", configuration(4, ANY))
-            world.store.put("config", "main", configuration(7, ANY, ANY, ANY))
+            world.store.put("config", "main", sample_configuration(4, ANY))
+            world.store.put("config", "main", sample_configuration(7, ANY, ANY, ANY))
             await until(lambda: context.configuration_version == 7)
             versions = [
                 fields["version"]
@@ -316,7 +329,9 @@
     async def scenario():
         async with HostHarness(well, well) as world:
             address = world.host.context.endpoints.states["e-0"].record.address
-            world.store.put("servers", "e-0", entry(address, "draining", beat=2))
+            world.store.put(
+                "servers", "e-0", sample_endpoint_entry(address, "draining", sequence=2)
+            )
             await until(
                 lambda: world.host.context.endpoints.states["e-0"].record.is_draining
             )
@@ -333,11 +348,23 @@
     async def scenario():
         async with HostHarness(well) as world:
             for number, content in enumerate(
-                (None, 7, [], {}, "text", entry("nowhere"), entry("10.0.0.1:80", "odd"))
+                (
+                    None,
+                    7,
+                    [],
+                    {},
+                    "text",
+                    sample_endpoint_entry("nowhere"),
+                    sample_endpoint_entry("10.0.0.1:80", "odd"),
+                )
             ):
                 world.store.put("servers", f"odd-{number}", content)
-            world.store.put("servers", "odd-slots", entry("10.0.0.1:80", slots=True))
-            world.store.put("servers", "last", entry("10.0.0.9:80", "draining"))
+            world.store.put(
+                "servers", "odd-slots", sample_endpoint_entry("10.0.0.1:80", slots=True)
+            )
+            world.store.put(
+                "servers", "last", sample_endpoint_entry("10.0.0.9:80", "draining")
+            )
             states = world.host.context.endpoints.states
             await until(lambda: "last" in states)
             assert set(states) == {"e-0", "last"}
@@ -358,7 +385,7 @@
                 lambda: any(event == "dependency_lost" for event, _ in world.log_lines)
             )
             assert (await world.ask())[0] == 200
-            world.store.put("config", "main", configuration(9, ANY, ANY))
+            world.store.put("config", "main", sample_configuration(9, ANY, ANY))
             world.store.fault = ""
             await until(lambda: context.configuration_version == 9)
 
@@ -374,8 +401,10 @@
             await until(lambda: context.sees_store)
             watches = context.watches_store
             context.watches_store = lambda: False
-            world.store.put("config", "main", configuration(2, ANY))
-            world.store.put("servers", "e-9", entry("10.0.0.9:80", "draining"))
+            world.store.put("config", "main", sample_configuration(2, ANY))
+            world.store.put(
+                "servers", "e-9", sample_endpoint_entry("10.0.0.9:80", "draining")
+            )
             await until(lambda: not context.sees_store)
             context.watches_store = watches
             await until(lambda: context.sees_store)
@@ -427,9 +456,9 @@
         store, blind = ObjectStore(), ObjectStore()
         blind.fault = "refuse"
         address, nowhere = await store.start(), await blind.start()
-        store.put("config", "main", configuration(1, ANY))
+        store.put("config", "main", sample_configuration(1, ANY))
         endpoint = ScriptedEndpoint(well)
-        store.put("servers", "e-0", entry(await endpoint.start()))
+        store.put("servers", "e-0", sample_endpoint_entry(await endpoint.start()))
         port = free_ports("127.0.0.2", 1)[0]
         seeing = EntryHost(
             settings(address, "127.0.0.2", "host-2", (), port), lambda *a, **f: None
@@ -446,7 +475,7 @@
         await turned_away.start()
         seeing.context.hosts.on_record(0.0, "host-3", "127.0.0.3")
         await until(lambda: turned_away.context.configuration_version == 1)
-        store.put("config", "main", configuration(4, ANY, ANY))
+        store.put("config", "main", sample_configuration(4, ANY, ANY))
         await until(lambda: turned_away.context.configuration_version == 4)
         assert list(turned_away.context.endpoints.states) == ["e-0"]
         for part in (turned_away, seeing, endpoint, store, blind):
@@ -466,13 +495,15 @@
         if b"Last-Event-Id: " in head:
             first = 1 + int(head.split(b"Last-Event-Id: ")[1].split(b"\r\n")[0])
         writer.write(
-            answer_to(request_id_of(head), b"", framing="Transfer-Encoding: chunked")
+            encode_response(
+                request_id_of(head), b"", framing="Transfer-Encoding: chunked"
+            )
         )
         for event in events[first:] if is_ended else events[first:3]:
-            writer.write(chunk(event))
+            writer.write(encode_chunk(event))
         if not is_ended:
             # Half an event, and the connection breaks.
-            writer.write(chunk(events[3][:4]))
+            writer.write(encode_chunk(events[3][:4]))
             writer.close()
             return
         writer.write(b"0\r\n\r\n")
--- a/libs/entry/tests/test_large_configuration.py
+++ b/libs/entry/tests/test_large_configuration.py
@@ -2,9 +2,17 @@
 
 import contextlib
 
-from host_harness import ANY, ask, configuration, entry, host_without_store, run, until
-from platform_samples import many_routes
-from replies import ScriptedEndpoint, answer_to, request_id_of
+from host_harness import (
+    ANY,
+    ask,
+    host_without_store,
+    run,
+    sample_configuration,
+    sample_endpoint_entry,
+    until,
+)
+from platform_samples import sample_routes
+from scripted_endpoint import ScriptedEndpoint, encode_response, request_id_of
 
 # Routes that an operator adds to a large deployment at once.
 MANY_ROUTES = 1400
@@ -16,7 +24,7 @@
 
 
 async def well(number, head, body, writer):
-    writer.write(answer_to(request_id_of(head)))
+    writer.write(encode_response(request_id_of(head)))
 
 
 @contextlib.asynccontextmanager
@@ -38,8 +46,8 @@
     # the first piece for the whole, so that nothing of a longer one could be read.
     async def scenario():
         async with two_hosts_and_two_endpoints() as (_, _, two):
-            routes = many_routes(MANY_ROUTES, ANY)
-            two.store.put("config", "main", configuration(2, *routes))
+            routes = sample_routes(MANY_ROUTES, ANY)
+            two.store.put("config", "main", sample_configuration(2, *routes))
             await until(lambda: two.context.configuration_version == 2)
             host, path = routes[-1]["host"], routes[-1]["path_prefix"]
             status, _, body = await ask(two.session, f"{path}x", Host=host)
@@ -55,9 +63,13 @@
     # read for the one's size was lost of the other too, although the list is short.
     async def scenario():
         async with two_hosts_and_two_endpoints() as (endpoints, addresses, two):
-            routes = [ANY, *many_routes(MANY_ROUTES, ANY)]
-            two.store.put("config", "main", configuration(2, *routes))
-            two.store.put("servers", "e-0", entry(addresses[0], "draining", beat=2))
+            routes = [ANY, *sample_routes(MANY_ROUTES, ANY)]
+            two.store.put("config", "main", sample_configuration(2, *routes))
+            two.store.put(
+                "servers",
+                "e-0",
+                sample_endpoint_entry(addresses[0], "draining", sequence=2),
+            )
             leaving = two.context.endpoints.states["e-0"]
             await until(lambda: not leaving.is_usable)
             for number in range(REQUESTS):
@@ -76,10 +88,14 @@
     async def scenario():
         async with host_without_store() as two:
             two.context.watches_store = lambda: False
-            two.link.set_holds(False, True)
+            two.link.set_blocked(False, True)
             for store in (two.store, two.other_store):
-                store.put("config", "main", configuration(2, ANY, ANY))
-                store.put("servers", "e-0", entry("127.0.0.1:9", "draining", beat=2))
+                store.put("config", "main", sample_configuration(2, ANY, ANY))
+                store.put(
+                    "servers",
+                    "e-0",
+                    sample_endpoint_entry("127.0.0.1:9", "draining", sequence=2),
+                )
             two.other_store.fault = ""
             leaving = two.context.endpoints.states["e-0"]
             await until(lambda: two.context.configuration_version == 2)
@@ -95,11 +111,15 @@
     Return the store that shows it to that host, newer than all that it knows.
     """
     await until(lambda: len(two.context.endpoints.states) == 2)
-    two.link.set_holds(False, True)
+    two.link.set_blocked(False, True)
     two.store.remove("servers", "e-1")
     other = two.other_store
     while other.revision <= two.store.revision:
-        other.put("servers", "e-0", entry("127.0.0.1:9", beat=other.revision))
+        other.put(
+            "servers",
+            "e-0",
+            sample_endpoint_entry("127.0.0.1:9", sequence=other.revision),
+        )
     return other
 
 
@@ -141,10 +161,10 @@
     async def scenario():
         async with host_without_store() as two:
             two.context.watches_store = lambda: False
-            two.link.set_holds(False, True)
+            two.link.set_blocked(False, True)
             two.other_store.put("config", "main", {"version": 2, "routes": "new"})
             two.other_store.fault = ""
-            two.store.put("config", "main", configuration(2, ANY, ANY))
+            two.store.put("config", "main", sample_configuration(2, ANY, ANY))
             calls, reading = two.other_store.calls, ("GET", "/v1/objects/config")
             read_s = []
             while len(read_s) < 4:
@@ -164,8 +184,8 @@
     async def scenario():
         async with host_without_store() as two:
             two.link.bytes_per_s = CROWDED_BYTES_PER_S
-            routes = many_routes(MANY_ROUTES, ANY)
-            two.store.put("config", "main", configuration(2, *routes))
+            routes = sample_routes(MANY_ROUTES, ANY)
+            two.store.put("config", "main", sample_configuration(2, *routes))
             await until(lambda: two.context.configuration_version == 2)
 
     run(scenario())
--- a/libs/entry/tests/test_peer_sync.py
+++ b/libs/entry/tests/test_peer_sync.py
@@ -4,8 +4,15 @@
 import contextlib
 
 import pytest
-from host_harness import ANY, configuration, entry, host_without_store, run, until
-from platform_samples import many_routes
+from host_harness import (
+    ANY,
+    host_without_store,
+    run,
+    sample_configuration,
+    sample_endpoint_entry,
+    until,
+)
+from platform_samples import sample_routes
 
 from gypsumusher_entry.sync_messages import (
     SyncResponse,
@@ -29,7 +36,9 @@
         async with host_without_store() as two:
             store, context, lines = two.store, two.context, two.lines
             store.put(
-                "config", "main", configuration(2, *many_routes(MANY_ROUTES, ANY))
+                "config",
+                "main",
+                sample_configuration(2, *sample_routes(MANY_ROUTES, ANY)),
             )
             await until(lambda: context.configuration_version == 2)
             assert len(context.configuration.routes) == MANY_ROUTES
@@ -44,14 +53,16 @@
     async def scenario():
         async with host_without_store() as two:
             store, link, context, lines = two.store, two.link, two.context, two.lines
-            link.set_holds(False, True)
+            link.set_blocked(False, True)
             store.put(
-                "config", "main", configuration(2, *many_routes(MANY_ROUTES, ANY))
+                "config",
+                "main",
+                sample_configuration(2, *sample_routes(MANY_ROUTES, ANY)),
             )
             await until(lambda: "peer_not_heard" in [event for event, _ in lines])
             assert context.configuration_version == 1
             assert list(context.endpoints.states) == ["e-0"]
-            link.set_holds(False, False)
+            link.set_blocked(False, False)
             link.reset()
             await until(lambda: context.configuration_version == 2)
 
@@ -63,15 +74,15 @@
     # The host is well by all that its log and metrics tell, so nobody looks there.
     async def scenario():
         async with host_without_store() as two:
-            two.link.set_holds(False, True)
-            two.store.put("config", "main", configuration(2, ANY, ANY))
+            two.link.set_blocked(False, True)
+            two.store.put("config", "main", sample_configuration(2, ANY, ANY))
             await until(lambda: "news_overdue" in [event for event, _ in two.lines])
             fields = dict(two.lines)["news_overdue"]
             assert (fields["kind"], fields["known"]) == ("configuration", 1)
             assert fields["newest"] == 2
             page = two.context.metrics.render()[0].decode()
             assert "gypsumusher_configuration_version 1" in page
-            two.link.set_holds(False, False)
+            two.link.set_blocked(False, False)
             two.link.reset()
             await until(lambda: "news_caught_up" in [event for event, _ in two.lines])
             assert two.context.configuration_version == 2
@@ -100,7 +111,7 @@
             # Until then the peer waits for entries that may come back.
             await until(lambda: context.endpoints.revision > 0)
             heard = len(two.lines)
-            changed = entry(addresses[0], "draining", beat=2)
+            changed = sample_endpoint_entry(addresses[0], "draining", sequence=2)
             two.store.put("servers", "e-0", changed)
             states = context.endpoints.states
             await until(lambda: states["e-0"].record.is_draining)
@@ -138,7 +149,7 @@
 
 
 def beliefs(routes=1, endpoints=1):
-    content = configuration(7, *many_routes(routes, ANY))
+    content = sample_configuration(7, *sample_routes(routes, ANY))
     stored = StoredObject("main", 5, content, None)
     return SyncResponse(stored, records(endpoints), 9, True)
 
@@ -157,7 +168,9 @@
     first = beliefs(2)
     assert decode_sync_response("a", encoder.encode(first)) == first
     assert decode_sync_response("a", encoder.encode(first)) == first
-    newer = first.configuration._replace(revision=6, content=configuration(8, ANY))
+    newer = first.configuration._replace(
+        revision=6, content=sample_configuration(8, ANY)
+    )
     second = first._replace(configuration=newer)
     assert decode_sync_response("a", encoder.encode(second)) == second
 
@@ -196,7 +209,7 @@
             store, link, context, lines = two.store, two.link, two.context, two.lines
             link.target = f"127.0.0.1:{port}"
             link.reset()
-            store.put("config", "main", configuration(2, ANY))
+            store.put("config", "main", sample_configuration(2, ANY))
             await until(lambda: "peer_not_heard" in [event for event, _ in lines])
             fields = dict(lines)["peer_not_heard"]
             assert "over" in fields["error"]
--- a/libs/entry/tests/test_retry_budget.py
+++ b/libs/entry/tests/test_retry_budget.py
@@ -9,14 +9,14 @@
     ONCE,
     STREAM,
     HostHarness,
-    configuration,
-    entry,
     not_run,
     run,
+    sample_configuration,
+    sample_endpoint_entry,
     settings,
     until,
 )
-from replies import answer_to, request_id_of
+from scripted_endpoint import encode_response, request_id_of
 
 from gypsumusher_entry.context import Context
 from gypsumusher_entry.exchange import Exchange
@@ -31,13 +31,13 @@
 
 async def make_engines(world, *stages, route=STREAM):
     """Have the endpoints be engines with these stages."""
-    content = configuration(2, route)
+    content = sample_configuration(2, route)
     content["services"][0]["engine"] = {"slots": 8}
     world.store.put("config", "main", content)
     states = world.host.context.endpoints.states
     for number, stage in enumerate(stages):
         address = states[f"e-{number}"].record.address
-        fields = entry(address, stage=stage, beat=9)
+        fields = sample_endpoint_entry(address, stage=stage, sequence=9)
         world.store.put("servers", f"e-{number}", fields)
     await until(lambda: world.host.context.configuration_version == 2)
     wanted = list(stages)
@@ -73,10 +73,10 @@
     async def reads_late(number, head, body, writer):
         await asyncio.sleep(0.3)
         prefilled = b'{"handle": "h", "tokens": 30000, "version": 1}'
-        writer.write(answer_to(request_id_of(head), prefilled))
+        writer.write(encode_response(request_id_of(head), prefilled))
 
     async def streams(number, head, body, writer):
-        writer.write(answer_to(request_id_of(head), b"id: 0\ndata: x\n\n"))
+        writer.write(encode_response(request_id_of(head), b"id: 0\ndata: x\n\n"))
 
     async def scenario():
         route = {**STREAM, "timeout_ms": 7000, "goal_ms": 1500}
@@ -194,7 +194,7 @@
 
 def test_hosts_that_hear_nobody_leave_connections_to_the_others():
     """Each of four hosts that were cut off opened nearly all that an endpoint takes."""
-    content = decode_configuration(configuration(1, ONCE))
+    content = decode_configuration(sample_configuration(1, ONCE))
     sums = []
     for heard_s in (30.0, 0.0):
         hosts = hosts_that_heard_each_other(heard_s, now_s=30.0)[:4]
--- a/libs/entry/tests/test_stage_orders.py
+++ b/libs/entry/tests/test_stage_orders.py
@@ -3,8 +3,15 @@
 import asyncio
 import json
 
-from host_harness import STREAM, HostHarness, configuration, entry, run, until
-from replies import answer_to
+from host_harness import (
+    STREAM,
+    HostHarness,
+    run,
+    sample_configuration,
+    sample_endpoint_entry,
+    until,
+)
+from scripted_endpoint import encode_response
 
 
 class Engine:
@@ -25,33 +32,35 @@
     async def __call__(self, number, head, body, writer):
         if head.startswith(b"GET /v1/report"):
             report = {"stage": self.stage, "busy": False, "seq": self.order_count}
-            writer.write(answer_to("", json.dumps(report).encode()))
+            writer.write(encode_response("", json.dumps(report).encode()))
             return
         if not head.startswith(b"POST /v1/order"):
-            writer.write(answer_to("", b"{}"))
+            writer.write(encode_response("", b"{}"))
             return
         order = json.loads(body)
         self.orders.append((head, order))
         if order["precondition"] != self.order_count:
-            writer.write(answer_to("", b"", "409 Conflict"))
+            writer.write(encode_response("", b"", "409 Conflict"))
             return
         self.order_count += 1
         self.stage = order["stage"]
         if self.answers:
-            writer.write(answer_to("", b"", "202 Accepted"))
+            writer.write(encode_response("", b"", "202 Accepted"))
         else:
             await asyncio.Event().wait()
 
 
 async def make_readers_only(world):
     """Have all engines read prompts only, as after the loss of the others."""
-    content = configuration(2, STREAM)
+    content = sample_configuration(2, STREAM)
     content["services"][0]["engine"] = {"slots": 8, "switch_s": 2.5}
     world.store.put("config", "main", content)
     states = world.host.context.endpoints.states
     for name, state in list(states.items()):
         address = state.record.address
-        world.store.put("servers", name, entry(address, stage="prefill", beat=9))
+        world.store.put(
+            "servers", name, sample_endpoint_entry(address, stage="prefill", sequence=9)
+        )
     await until(lambda: all(s.record.stage == "prefill" for s in states.values()))
 
 
--- a/libs/entry/tests/test_store_calls.py
+++ b/libs/entry/tests/test_store_calls.py
@@ -2,7 +2,14 @@
 
 import asyncio
 
-from host_harness import ANY, configuration, entry, run, settings, until
+from host_harness import (
+    ANY,
+    run,
+    sample_configuration,
+    sample_endpoint_entry,
+    settings,
+    until,
+)
 from processes import free_ports
 
 from gypsumusher_entry import store_watcher
@@ -27,7 +34,7 @@
         self.changes = 0
 
     async def __aenter__(self):
-        self.store.put("servers", "e-0", entry("127.0.0.1:9"))
+        self.store.put("servers", "e-0", sample_endpoint_entry("127.0.0.1:9"))
         await self.start()
         await self.until_few_watch()
         return self
@@ -35,7 +42,7 @@
     async def start(self):
         """Start all hosts at once."""
         address = await self.store.start()
-        self.store.put("config", "main", configuration(1, ANY))
+        self.store.put("config", "main", sample_configuration(1, ANY))
         port = free_ports("127.0.0.2", 1)[0]
         for number in range(HOSTS):
             ip = f"127.0.0.{2 + number}"
@@ -62,16 +69,24 @@
         # that has heard that others watch.
         while sum(context.sees_store for context in contexts) != WATCHERS:
             self.changes += 1
-            self.store.put("config", "main", configuration(1 + self.changes, ANY))
+            self.store.put(
+                "config", "main", sample_configuration(1 + self.changes, ANY)
+            )
             address = "127.0.0.1:8"
-            self.store.put("servers", "e-1", entry(address, beat=self.changes))
+            self.store.put(
+                "servers", "e-1", sample_endpoint_entry(address, sequence=self.changes)
+            )
             await asyncio.sleep(0.1)
 
     async def calls_for_changes(self):
         """Return how many calls for endpoints some changes of theirs bring about."""
         before = len(self.store.calls)
         for beat in range(CHANGES):
-            self.store.put("servers", "e-1", entry("127.0.0.1:8", beat=beat + 1000))
+            self.store.put(
+                "servers",
+                "e-1",
+                sample_endpoint_entry("127.0.0.1:8", sequence=beat + 1000),
+            )
             await asyncio.sleep(0.05)
         calls = self.store.calls[before:]
         return sum(path.endswith("/servers") for _, path in calls)
@@ -110,8 +125,8 @@
             calls = [path for _, path in fleet.store.calls if path.endswith("/servers")]
             # Each lists them once.
             assert len(calls) <= HOSTS + WATCHERS
-            fleet.store.put("servers", "e-0", entry("127.0.0.1:9"))
-            fleet.store.put("servers", "e-1", entry("127.0.0.1:8"))
+            fleet.store.put("servers", "e-0", sample_endpoint_entry("127.0.0.1:9"))
+            fleet.store.put("servers", "e-1", sample_endpoint_entry("127.0.0.1:8"))
             await fleet.until_heard()
         finally:
             await fleet.__aexit__()
--- a/libs/http/tests/test_calls.py
+++ b/libs/http/tests/test_calls.py
@@ -3,7 +3,7 @@
 import asyncio
 
 import pytest
-from replies import ScriptedEndpoint
+from scripted_endpoint import ScriptedEndpoint
 
 from gypsumusher_http import CallError, CallLimits, HttpClient
 from gypsumusher_ports import DecodeError
--- a/libs/http/tests/test_connections.py
+++ b/libs/http/tests/test_connections.py
@@ -4,7 +4,7 @@
 from typing import NamedTuple
 
 import pytest
-from replies import ScriptedEndpoint, answer_to, request_id_of
+from scripted_endpoint import ScriptedEndpoint, encode_response, request_id_of
 
 from gypsumusher_http import CallError, ConnectionPool
 from gypsumusher_platform import decode_response_head
@@ -68,8 +68,8 @@
     async def script(number, head, body, writer):
         request_id = request_id_of(head)
         if number == 1:
-            writer.write(answer_to("first", b"of the first request"))
-        writer.write(answer_to(request_id, request_id.encode()))
+            writer.write(encode_response("first", b"of the first request"))
+        writer.write(encode_response(request_id, request_id.encode()))
 
     async def scenario():
         async with Setting(script) as setting:
@@ -85,7 +85,7 @@
     # same connection would find it where its own answer should begin.
     async def script(number, head, body, writer):
         request_id = request_id_of(head)
-        writer.write(answer_to(request_id) + b"rubbish")
+        writer.write(encode_response(request_id) + b"rubbish")
 
     async def scenario():
         async with Setting(script) as setting:
@@ -103,7 +103,7 @@
 def test_an_answer_that_ends_early_is_broken(framing):
     async def script(number, head, body, writer):
         part = b"5\r\nwhole\r\n" if "chunked" in framing else b"whole"
-        writer.write(answer_to(request_id_of(head), part, framing=framing))
+        writer.write(encode_response(request_id_of(head), part, framing=framing))
         writer.close()
 
     async def scenario():
@@ -117,7 +117,7 @@
 
 def test_an_answer_without_a_length_ends_with_its_connection():
     async def script(number, head, body, writer):
-        writer.write(answer_to(request_id_of(head), framing="Connection: close"))
+        writer.write(encode_response(request_id_of(head), framing="Connection: close"))
         writer.close()
 
     async def scenario():
@@ -172,7 +172,9 @@
         loop.create_connection = no_connection
         connection = await pool.acquire("e-1", "127.0.0.1:1", 10)
         answer = connection.send(b"", "r")
-        connection.data_received(answer_to("r", b"ha", framing="Connection: close"))
+        connection.data_received(
+            encode_response("r", b"ha", framing="Connection: close")
+        )
         connection.eof_received()
         connection.connection_lost(None)
         with pytest.raises(CallError):
@@ -186,7 +188,7 @@
     # be reset, and one that runs at most once would be lost.
     async def script(number, head, body, writer):
         keep = ("Keep-Alive: timeout=1",)
-        writer.write(answer_to(request_id_of(head), extra=keep))
+        writer.write(encode_response(request_id_of(head), extra=keep))
 
     async def scenario():
         async with Setting(script) as setting:
@@ -202,7 +204,7 @@
     # An endpoint restarts under its id at its old address. A connection that was opened
     # to its past may hang, and counts of its past don't hold.
     async def script(number, head, body, writer):
-        writer.write(answer_to(request_id_of(head)))
+        writer.write(encode_response(request_id_of(head)))
 
     async def scenario():
         async with Setting(script) as setting:
--- a/libs/standins/tests/test_programs.py
+++ b/libs/standins/tests/test_programs.py
@@ -73,7 +73,7 @@
             body["kv_import"] = {**exported["kv"], "handle": "gone"}
             status, refused = await post_json(fleet, decode, path, body)
             assert refused["error"]["code"] == "kv_unavailable"
-            assert await fleet.runs_of("a letter", [prefill, decode]) == 1
+            assert await fleet.count_runs("a letter", [prefill, decode]) == 1
 
     asyncio.run(run())
 
--- a/soak/backend.py
+++ b/soak/backend.py
@@ -3,7 +3,12 @@
 import asyncio
 
 from records import EVENTS, STREAM, Arrival, body_of, event_of
-from replies import ScriptedEndpoint, answer_to, chunk, request_id_of
+from scripted_endpoint import (
+    ScriptedEndpoint,
+    encode_chunk,
+    encode_response,
+    request_id_of,
+)
 
 __all__ = ["Backend"]
 
@@ -53,29 +58,29 @@
         request_id = request_id_of(head)
         expected = fields.get("x-gypsumusher-expect-instance", self.name)
         if expected != self.name:
-            writer.write(answer_to(request_id, b"", "421 Misdirected Request"))
+            writer.write(encode_response(request_id, b"", "421 Misdirected Request"))
             return
         if not request_id:
-            writer.write(answer_to("health", b""))
+            writer.write(encode_response("health", b""))
             return
         mode = self.mode
         arrival = Arrival(request_id, self.name, self._clock())
         if mode == "full":
             self._records.rejections.append(arrival)
             status, not_run = "503 Service Unavailable", ("X-Gypsumusher-Not-Run: 1",)
-            writer.write(answer_to(request_id, b"", status, not_run))
+            writer.write(encode_response(request_id, b"", status, not_run))
             return
         self._records.arrivals.append(arrival)
         await asyncio.sleep(WORK_S)
         if mode == "hang":
             await asyncio.Event().wait()
         if mode == "errors":
-            writer.write(answer_to(request_id, b"", "500 Internal Server Error"))
+            writer.write(encode_response(request_id, b"", "500 Internal Server Error"))
             return
         if head.split(b" ", 2)[1].startswith(f"/{STREAM}/".encode()):
             await self._stream(request_id, fields, writer, mode)
             return
-        answer = answer_to(request_id, body_of(request_id))
+        answer = encode_response(request_id, body_of(request_id))
         if mode == "break":
             writer.write(answer[: -len(body_of(request_id)) // 2])
             writer.close()
@@ -87,14 +92,16 @@
         first = 1 + int(fields.get("last-event-id", -1))
         type_field = ("Content-Type: text/event-stream",)
         framing = "Transfer-Encoding: chunked"
-        writer.write(answer_to(request_id, b"", extra=type_field, framing=framing))
+        writer.write(
+            encode_response(request_id, b"", extra=type_field, framing=framing)
+        )
         for number in range(first, EVENTS):
             event = event_of(request_id, number)
             if mode == "break" and number >= first + 2:
-                writer.write(chunk(event[:5]))
+                writer.write(encode_chunk(event[:5]))
                 writer.close()
                 return
-            writer.write(chunk(event))
+            writer.write(encode_chunk(event))
             await writer.drain()
             await asyncio.sleep(EVENT_PAUSE_S)
         writer.write(b"0\r\n\r\n")
--- a/soak/injection.py
+++ b/soak/injection.py
@@ -119,9 +119,9 @@
 
 def _link_hold(there, back):
     async def bring_about(world, link, for_s):
-        link.set_holds(there, back)
+        link.set_blocked(there, back)
         await asyncio.sleep(for_s)
-        link.set_holds(False, False)
+        link.set_blocked(False, False)
 
     return bring_about
 
--- a/soak/tests/test_soak.py
+++ b/soak/tests/test_soak.py
@@ -111,12 +111,12 @@
         reader, writer = await asyncio.open_connection(ip, int(port))
         writer.write(b"one")
         assert await reader.readexactly(3) == b"one"
-        proxy.set_holds(False, True)
+        proxy.set_blocked(False, True)
         writer.write(b"two")
         with pytest.raises(TimeoutError):
             await asyncio.wait_for(reader.readexactly(3), 0.1)
         began_s = time.monotonic()
-        proxy.set_holds(False, False)
+        proxy.set_blocked(False, False)
         assert await reader.readexactly(3) == b"two"
         assert time.monotonic() - began_s < 5.0
         proxy.reset()
--- a/soak/world.py
+++ b/soak/world.py
@@ -9,7 +9,7 @@
 from backend import Backend
 from callers import Caller
 from entry_process import EntryProcess
-from platform_samples import configuration, entry, many_routes
+from platform_samples import sample_configuration, sample_endpoint_entry, sample_routes
 from processes import free_ports
 from proxies import Proxy
 from records import ANY_TIMES, ONCE, STREAM, Records
@@ -136,7 +136,7 @@
     def grow_configuration(self):
         """Add routes by the thousand, as an operator does when a customer joins."""
         seed = self._version
-        self._further_routes += many_routes(MANY_ROUTES, {"kind": "idempotent"}, seed)
+        self._further_routes += sample_routes(MANY_ROUTES, {"kind": "idempotent"}, seed)
         self.write_configuration()
 
     def write_configuration(self):
@@ -158,7 +158,7 @@
                     "goal_ms": 200 + self._version,
                 }
             )
-        content = configuration(self._version, *routes, *self._further_routes)
+        content = sample_configuration(self._version, *routes, *self._further_routes)
         self.store.put("config", "main", content)
         if self._version > 1:
             self.records.written.append((self.clock(), self._version))
@@ -235,7 +235,7 @@
                 continue
             beats[1] = beat + 1
             number = self.backends.index(backend)
-            content = entry(
+            content = sample_endpoint_entry(
                 self.links[number].address,
                 state,
                 beat,
--- a/tests/test_at_most_once.py
+++ b/tests/test_at_most_once.py
@@ -84,7 +84,7 @@
                 answer = await hosts[1].complete(DEMAND, LONG_TOKENS, keyed(key))
                 assert_unknown(answer)
             assert await hosts[1].key_outcome(key) == "unknown"
-            assert await fleet.runs_of(DEMAND, engines) == 1
+            assert await fleet.count_runs(DEMAND, engines) == 1
 
     asyncio.run(run())
 
@@ -113,11 +113,11 @@
             assert await hosts[1].key_outcome(key) == "not_run"
             again = await hosts[1].complete(DEMAND, 8, keyed(key))
             assert_not_run(again)
-            assert await fleet.runs_of(DEMAND, engines) == 0
+            assert await fleet.count_runs(DEMAND, engines) == 0
             fresh = await hosts[1].mint_key()
             answer = await hosts[1].complete(DEMAND, 8, keyed(fresh))
             assert answer.text == expected_text(DEMAND, 8)
-            assert await fleet.runs_of(DEMAND, engines) == 1
+            assert await fleet.count_runs(DEMAND, engines) == 1
 
     asyncio.run(run())
 
@@ -145,7 +145,7 @@
             await fleet.platform.control(hang_clients=[])
             late = await call
             assert late.status != 200
-            assert await fleet.runs_of(DEMAND, engines) == 0
+            assert await fleet.count_runs(DEMAND, engines) == 0
 
             async def serves_again():
                 fresh = await hosts[0].mint_key()
@@ -153,7 +153,7 @@
                 return answer.status == 200
 
             await wait_until(serves_again, "the host to serve under a new journal")
-            assert await fleet.runs_of(DEMAND, engines) == 1
+            assert await fleet.count_runs(DEMAND, engines) == 1
 
     asyncio.run(run())
 
@@ -185,7 +185,7 @@
             await call
             # The home is back: it knows whether it was licensed before the seal.
             again = await hosts[1].complete(DEMAND, 8, keyed(key))
-            runs = await fleet.runs_of(DEMAND, engines)
+            runs = await fleet.count_runs(DEMAND, engines)
             if again.error.get("code") == "key_not_run":
                 assert_not_run(again)
                 assert runs == 0
@@ -216,7 +216,7 @@
             second = await hosts[0].mint_key()
             answer = await hosts[0].complete("another", 8, keyed(second))
             assert answer.text == expected_text("another", 8)
-            assert await fleet.runs_of(DEMAND, engines) == 1
+            assert await fleet.count_runs(DEMAND, engines) == 1
             assert (await fleet.platform.counters())["settings"]["lose_answers"] == 0
 
     asyncio.run(run())
@@ -243,7 +243,7 @@
                 assert int(answer.headers["Retry-After"]) >= 1
             plain = await hosts[0].complete("a status question", 8)
             assert plain.text == expected_text("a status question", 8)
-            assert await fleet.runs_of(DEMAND, engines) == 0
+            assert await fleet.count_runs(DEMAND, engines) == 0
             await fleet.platform.control(outage=False)
 
             # "Not run" was said of this key, so no late copy of it may run either.
@@ -256,7 +256,7 @@
                 return (await hosts[0].complete(DEMAND, 8, keyed(fresh))).status == 200
 
             await wait_until(is_served, "a new key to be served after the outage")
-            assert await fleet.runs_of(DEMAND, engines) == 1
+            assert await fleet.count_runs(DEMAND, engines) == 1
 
     asyncio.run(run())
 
@@ -299,7 +299,7 @@
                 answer = await other.complete(f"{DEMAND} {key}", 8, keyed(key))
                 if answer.status != 200:
                     assert answer.error["run"] == "unknown", (key, answer)
-                assert await fleet.runs_of(f"{DEMAND} {key}", engines) == 1
+                assert await fleet.count_runs(f"{DEMAND} {key}", engines) == 1
             if refused_by == "stopping_host":
                 long.cancel()
 
@@ -336,11 +336,11 @@
             for _ in range(2):
                 answer = await hosts[0].complete(DEMAND, 8, keyed(key))
                 assert answer.text == expected_text(DEMAND, 8)
-            assert await fleet.runs_of(DEMAND, engines) == 1
+            assert await fleet.count_runs(DEMAND, engines) == 1
             hosts[0].kill()
             await fleet.platform.control(outage=False)
             assert_unknown(await hosts[1].complete(DEMAND, 8, keyed(key)))
-            assert await fleet.runs_of(DEMAND, engines) == 1
+            assert await fleet.count_runs(DEMAND, engines) == 1
 
     asyncio.run(run())
 
@@ -369,10 +369,10 @@
                     continue
                 assert answer.error["code"] in {"in_progress", "key_unknown_outcome"}
                 assert answer.error["run"] == "unknown"
-            assert await fleet.runs_of(DEMAND, engines) == 1
+            assert await fleet.count_runs(DEMAND, engines) == 1
             again = await hosts[1].complete(DEMAND, 40, keyed(key))
             assert again.text == expected_text(DEMAND, 40)
-            assert await fleet.runs_of(DEMAND, engines) == 1
+            assert await fleet.count_runs(DEMAND, engines) == 1
 
     asyncio.run(run())
 
@@ -396,7 +396,7 @@
                 assert answer.status == 422, answer
                 assert answer.error["code"] == "key_reused"
                 assert_not_run(answer)
-            assert await fleet.runs_of("another letter", engines) == 0
+            assert await fleet.count_runs("another letter", engines) == 0
 
     asyncio.run(run())
 
@@ -421,7 +421,7 @@
             assert_unknown(
                 await hosts[1].complete(DEMAND, LONG_TOKENS, keyed("booking-123"))
             )
-            assert await fleet.runs_of(DEMAND, engines) == 1
+            assert await fleet.count_runs(DEMAND, engines) == 1
 
     asyncio.run(run())
 
@@ -441,7 +441,7 @@
             assert answer.text == expected_text(DEMAND, 8)
             again = await hosts[1].complete(DEMAND, 8, keyed("booking-123"))
             assert again.text == expected_text(DEMAND, 8)
-            assert await fleet.runs_of(DEMAND, engines) == 1
+            assert await fleet.count_runs(DEMAND, engines) == 1
 
     asyncio.run(run())
 
@@ -460,7 +460,7 @@
             for engine in engines:
                 await engine.control(close_after_read=1)
             answer = await hosts[0].complete(DEMAND, 8, headers)
-            runs = await fleet.runs_of(DEMAND, engines)
+            runs = await fleet.count_runs(DEMAND, engines)
             if headers:
                 assert answer.error["run"] == "unknown"
                 assert answer.headers["X-Should-Retry"] == "false"
@@ -490,7 +490,7 @@
                 no = {"Gypsumusher-Idempotent": "no"}
                 answer = await hosts[0].complete(prompt, 8, no)
                 assert answer.text == expected_text(prompt, 8)
-                assert await fleet.runs_of(prompt, engines) == 1
+                assert await fleet.count_runs(prompt, engines) == 1
             assert (await engines[0].counters())["prompts"] == {}
 
     asyncio.run(run())
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -10,7 +10,7 @@
 
 import aiohttp
 import pytest
-from testkit import FAST_SETTINGS, Fleet, merged, wait_until
+from testkit import FAST_SETTINGS, Fleet, merge_nested, wait_until
 from yaml import safe_dump
 
 from gypsumusher_peers import Identity, KeyRing, PeerLink
@@ -291,7 +291,7 @@
         "platform": {"urls": ["http://127.0.0.1:1"]},
     }
     path = tmp_path / "settings.yaml"
-    path.write_text(safe_dump(merged(merged(FAST_SETTINGS, good), fault)))
+    path.write_text(safe_dump(merge_nested(merge_nested(FAST_SETTINGS, good), fault)))
     argv = [sys.executable, "-m", "gypsumusher_daemon", "--settings", str(path)]
     done = subprocess.run([*argv, "--check"], capture_output=True, text=True)
     assert done.returncode == 2, done
--- a/tests/test_cells.py
+++ b/tests/test_cells.py
@@ -35,6 +35,6 @@
                 prompt = f"{PROMPT} {host.name}"
                 answer = await host.complete(prompt, 8, {"Idempotency-Key": key})
                 assert answer.text == expected_text(prompt, 8)
-                assert await fleet.runs_of(prompt, engines) == 1
+                assert await fleet.count_runs(prompt, engines) == 1
 
     asyncio.run(main())
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -80,7 +80,7 @@
     )
     proxy = OrderProxy(engine.address)
     await proxy.start()
-    await fleet.platform.list_at("e1", proxy.address)
+    await fleet.platform.set_listed_address("e1", proxy.address)
     hosts = await asyncio.gather(fleet.start_host("h1"), fleet.start_host("h2"))
     await fleet.wait_until_served(hosts, 1)
     return hosts, engine, proxy
@@ -120,11 +120,11 @@
             )
             first = await steward_among(hosts)
             second = hosts[1] if first is hosts[0] else hosts[0]
-            proxy.holds = True
+            proxy.holds_orders = True
             await patch_version(second, "2")
             await asyncio.wait_for(proxy.held.wait(), 10)
             end_s = asyncio.get_running_loop().time() + HELD_S
-            proxy.holds = False
+            proxy.holds_orders = False
             first.pause()
             assert await orders_of(engine) == []
             await steward_among([second])
--- a/tests/test_outage.py
+++ b/tests/test_outage.py
@@ -152,7 +152,7 @@
             headers = {"Idempotency-Key": key}
             answer = await hosts[0].complete("a booking", 8, headers)
             assert answer.text == expected_text("a booking", 8)
-            assert await fleet.runs_of("a booking", engines) == 1
+            assert await fleet.count_runs("a booking", engines) == 1
             patch = {"deployments": {"letter-models": {"retry_ratio": 0.2}}}
             answer = await hosts[0].patch(1, patch, "patch-a")
             assert answer.status == 200, answer
@@ -195,6 +195,6 @@
                         continue
                     assert answer.status in {409, 503}, answer
                     assert answer.error["run"] == "unknown", answer
-                assert await fleet.runs_of(prompt, engines) == 1
+                assert await fleet.count_runs(prompt, engines) == 1
 
     asyncio.run(run())
--- a/tests/test_platform_store.py
+++ b/tests/test_platform_store.py
@@ -3,7 +3,7 @@
 import asyncio
 import time
 
-from platform_samples import configuration, many_routes
+from platform_samples import sample_configuration, sample_routes
 from proxies import Proxy
 
 from gypsumusher_platform import StoreClient
@@ -94,7 +94,7 @@
         store = ObjectStore()
         link = Proxy(await store.start())
         client = StoreClient(await link.start(), 0.3, time.monotonic)
-        content = configuration(1, *many_routes(1400, {"kind": "idempotent"}))
+        content = sample_configuration(1, *sample_routes(1400, {"kind": "idempotent"}))
         store.put("config", "main", content)
         link.bytes_per_s = 400_000.0
         listing = (await client.list("config")).unwrap()
--- a/tests/test_stops.py
+++ b/tests/test_stops.py
@@ -33,7 +33,7 @@
         await asyncio.gather(*self._tasks)
         for prompt, answer in self.answers:
             assert answer.status == 200, answer
-            assert answer.whole
+            assert answer.is_complete
             assert answer.text == expected_text(prompt, self._max_tokens)
 
     async def wait_for_answers(self, count):
@@ -209,7 +209,7 @@
             assert again.status == 409, again
             assert again.error["run"] == "unknown"
             assert await hosts[1].key_outcome(unused) == "not_run"
-            assert await fleet.runs_of(LETTER, engines) == 1
+            assert await fleet.count_runs(LETTER, engines) == 1
 
     asyncio.run(run())
 
@@ -367,7 +367,7 @@
     async def run():
         async with Fleet() as fleet:
             hosts, engines = await fleet.start_system(hosts=2, engines=2)
-            await fleet.platform.list_as_leaving("e1")
+            await fleet.platform.mark_leaving("e1")
             await wait_for_state(hosts, engines[0], "leaving")
             before = await started_on(engines[0])
             await send_some(hosts, 10, "after it left")
--- a/tests/test_together.py
+++ b/tests/test_together.py
@@ -181,7 +181,7 @@
             await wait_until(are_idle, "the engines to finish")
             outcomes = {}
             for booking in callers.bookings:
-                runs = await fleet.runs_of(booking.prompt, engines)
+                runs = await fleet.count_runs(booking.prompt, engines)
                 last = booking.told[-1]
                 story = (booking.prompt, booking.key, booking.told, runs)
                 assert runs <= 1, story
--- a/tests/test_whole_answers.py
+++ b/tests/test_whole_answers.py
@@ -65,7 +65,7 @@
 
 def assert_visibly_cut(answer, prompt):
     """Check that a caller sees the cut, and that what came is its own text."""
-    assert not answer.whole or stream_error(answer.body)["run"] == "unknown"
+    assert not answer.is_complete or stream_error(answer.body)["run"] == "unknown"
     assert expected_text(prompt, 500).startswith(stream_text(answer.body))
 
 
@@ -88,9 +88,9 @@
             hosts[0].kill()
             answer.close()
             rest = await resume(hosts[1], token, last_id(received))
-            assert rest.whole
+            assert rest.is_complete
             assert_whole_stream(received + rest.body, LETTER, 100)
-            assert await fleet.runs_of(LETTER, engines) == 1
+            assert await fleet.count_runs(LETTER, engines) == 1
 
     asyncio.run(run())
 
@@ -127,7 +127,7 @@
             await wait_until(is_idle, "the engine to finish")
             rest = await resume(hosts[0], token, last_id(received))
             assert_whole_stream(received + rest.body, LETTER, 60)
-            assert await fleet.runs_of(LETTER, engines) == 1
+            assert await fleet.count_runs(LETTER, engines) == 1
 
     asyncio.run(run())
 
@@ -239,7 +239,7 @@
             answers = await asyncio.gather(*calls)
             served = 0
             for prompt, answer in zip(prompts, answers):
-                if answer.status != 200 or not answer.whole:
+                if answer.status != 200 or not answer.is_complete:
                     continue
                 served += 1
                 assert answer.text == expected_text(prompt, 30)
@@ -284,6 +284,6 @@
                 assert answer.text == expected_text(prompt, 30), answer
                 if stream:
                     assert_whole_stream(answer.body, prompt, 30)
-                assert await fleet.runs_of(prompt, engines) == 1
+                assert await fleet.count_runs(prompt, engines) == 1
 
     asyncio.run(run())
--- a/tools/demo.py
+++ b/tools/demo.py
@@ -4,7 +4,7 @@
 import pathlib
 import sys
 
-from testkit import DEPLOYMENT, OPERATOR_TOKEN, Fleet, merged
+from testkit import DEPLOYMENT, OPERATOR_TOKEN, Fleet, merge_nested
 
 from gypsumusher_cli import (
     LoadOptions,
@@ -25,10 +25,10 @@
 # Times the stand-ins' own speed: long bundles then take seconds, not a minute.
 ENGINE_SPEED = 2
 BULK = {"rank": 2, "first_token_s": 30.0, "between_tokens_s": 0.5, "deadline_s": 600}
-LETTER_MODELS = merged(DEPLOYMENT, {"classes": {"bulk": BULK}, "shifting": True})
+LETTER_MODELS = merge_nested(DEPLOYMENT, {"classes": {"bulk": BULK}, "shifting": True})
 # Its engines take an order with any fencing number; their own limit on an open
 # connection is what keeps a stale order out.
-USHER_LLM = merged(LETTER_MODELS, {"model": "usher-13b", "fencing": "ignores"})
+USHER_LLM = merge_nested(LETTER_MODELS, {"model": "usher-13b", "fencing": "ignores"})
 DOCUMENT = {
     "deployments": {"letter-models": LETTER_MODELS, "usher-llm": USHER_LLM},
     "services": {"counter-api": {}},
--- a/tools/platform_samples.py
+++ b/tools/platform_samples.py
@@ -3,7 +3,7 @@
 import random
 import string
 
-__all__ = ["configuration", "entry", "many_routes"]
+__all__ = ["sample_configuration", "sample_endpoint_entry", "sample_routes"]
 
 LIMITS = {
     "max_header_bytes": 16384,
@@ -13,7 +13,7 @@
 }
 
 
-def configuration(version, *routes):
+def sample_configuration(version, *routes):
     """Return a configuration as operators write it."""
     items = []
     for number, fields in enumerate(routes):
@@ -36,7 +36,7 @@
     }
 
 
-def many_routes(count, fields, seed=1):
+def sample_routes(count, fields, seed=1):
     """Return routes with names as operators choose them, which hardly repeat.
 
     Routes that differ by a number alone pack to a twentieth of their size, and an
@@ -55,7 +55,7 @@
     return routes
 
 
-def entry(address, state="ready", beat=1, **fields):
+def sample_endpoint_entry(address, state="ready", sequence=1, **fields):
     """Return an endpoint's entry as it writes it."""
     return {
         "service": "svc",
@@ -65,6 +65,6 @@
         "slots": 6,
         "state": state,
         "warmup_left_ms": 0,
-        "seq": beat,
+        "seq": sequence,
         **fields,
     }
--- a/tools/proxies.py
+++ b/tools/proxies.py
@@ -27,7 +27,7 @@
     bytes_per_s : float or None
         What the link carries one way, all connections together; None for no limit.
         A limited link passes packets instead of whatever has come.
-    holds_there, holds_back : bool
+    upstream_blocked, downstream_blocked : bool
         Whether nothing passes to the target, or from it, until it may again. Held
         pieces aren't lost, as packets aren't that TCP sends again.
     """
@@ -37,8 +37,8 @@
         self.address = ""
         self.delay_s = 0.0
         self.bytes_per_s = None
-        self.holds_there = False
-        self.holds_back = False
+        self.upstream_blocked = False
+        self.downstream_blocked = False
         self._pairs = set()
         self._tasks = set()
         self._server = None
@@ -61,9 +61,9 @@
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
-    def set_holds(self, there, back):
+    def set_blocked(self, upstream, downstream):
         """Hold back one direction, both or none."""
-        self.holds_there, self.holds_back = there, back
+        self.upstream_blocked, self.downstream_blocked = upstream, downstream
         self._changed.set()
         self._changed = asyncio.Event()
 
@@ -76,7 +76,7 @@
         self._tasks.add(asyncio.current_task())
         self._pairs.add(writer)
         try:
-            await self._until_free("holds_there", b"")
+            await self._until_free("upstream_blocked", b"")
             ip, _, port = self.target.rpartition(":")
             back_reader, back_writer = await asyncio.open_connection(ip, int(port))
         except OSError:
@@ -87,8 +87,8 @@
         self._pairs.add(back_writer)
         try:
             await asyncio.gather(
-                self._pump(reader, back_writer, "holds_there"),
-                self._pump(back_reader, writer, "holds_back"),
+                self._pump(reader, back_writer, "upstream_blocked"),
+                self._pump(back_reader, writer, "downstream_blocked"),
             )
         except asyncio.CancelledError:
             # The proxy is closed; the library would report the cancelled task.
@@ -159,12 +159,16 @@
 
     def __init__(self, target):
         super().__init__(target)
-        self.holds = False
+        self.holds_orders = False
         self.held = asyncio.Event()
         self.released = asyncio.Event()
 
     async def _until_free(self, direction, data):
-        if self.holds and direction == "holds_there" and data.startswith(ORDER_PREFIX):
+        if (
+            self.holds_orders
+            and direction == "upstream_blocked"
+            and data.startswith(ORDER_PREFIX)
+        ):
             self.held.set()
             await self.released.wait()
 
--- a/tools/replies.py
+++ b/tools/scripted_endpoint.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-__all__ = ["ScriptedEndpoint", "answer_to", "chunk", "request_id_of"]
+__all__ = ["ScriptedEndpoint", "encode_chunk", "encode_response", "request_id_of"]
 
 
 def request_id_of(head):
@@ -14,7 +14,7 @@
     return ""
 
 
-def answer_to(request_id, body=b"whole", status="200 OK", extra=(), framing=None):
+def encode_response(request_id, body=b"whole", status="200 OK", extra=(), framing=None):
     """Return the bytes of an endpoint's answer."""
     lines = [f"HTTP/1.1 {status}", f"X-Gypsumusher-Request-Id: {request_id}"]
     lines.append("X-Gypsumusher-Server-Seal: seal")
@@ -23,7 +23,7 @@
     return ("\r\n".join(lines) + "\r\n\r\n").encode() + body
 
 
-def chunk(data):
+def encode_chunk(data):
     """Return one piece of a body without a length."""
     return b"%x\r\n%b\r\n" % (len(data), data)
 
--- a/tools/testkit.py
+++ b/tools/testkit.py
@@ -66,13 +66,13 @@
 }
 
 
-class Answer(NamedTuple):
+class HttpResponse(NamedTuple):
     """An HTTP answer: status, headers, raw body, and whether it ended properly."""
 
     status: int
     headers: Any
     body: bytes
-    whole: bool
+    is_complete: bool
 
     @property
     def json(self):
@@ -135,12 +135,12 @@
     return bool(events) and events[-1][1] == "[DONE]"
 
 
-def merged(defaults, changes):
+def merge_nested(defaults, changes):
     """Return a nested dict with some keys replaced."""
     result = dict(defaults)
     for key, value in changes.items():
         if isinstance(value, dict) and isinstance(result.get(key), dict):
-            value = merged(result[key], value)
+            value = merge_nested(result[key], value)
         result[key] = value
     return result
 
@@ -217,11 +217,11 @@
         async with self.session.put(url, json=body, headers=self._headers()) as answer:
             assert answer.status in {200, 409}, await answer.text()
 
-    async def list_as_leaving(self, endpoint):
+    async def mark_leaving(self, endpoint):
         """Mark an endpoint as leaving in the host list."""
         await self._change_listing(endpoint, "state", "leaving")
 
-    async def list_at(self, endpoint, address):
+    async def set_listed_address(self, endpoint, address):
         """Give an endpoint another address in the host list."""
         await self._change_listing(endpoint, "address", address)
 
@@ -247,7 +247,7 @@
         Returns
         -------
         Answer
-            ``whole`` is false when the connection broke off in the body.
+            ``is_complete`` is false when the connection broke off in the body.
         """
         url = f"http://{self.addresses[listener]}{path}"
         data = body if isinstance(body, bytes) else None
@@ -263,7 +263,7 @@
                     parts.append(part)
             except aiohttp.ClientError:
                 whole = False
-            return Answer(answer.status, answer.headers, b"".join(parts), whole)
+            return HttpResponse(answer.status, answer.headers, b"".join(parts), whole)
 
     async def complete(self, prompt, max_tokens=8, headers=None, **extra):
         """Ask for a completion."""
@@ -371,9 +371,9 @@
 
     async def start_host(self, name, zone="suwon-a", **changes):
         """Start a daemon; `changes` are sections of its settings."""
-        settings = merged(FAST_SETTINGS, {"host": {"name": name, "zone": zone}})
+        settings = merge_nested(FAST_SETTINGS, {"host": {"name": name, "zone": zone}})
         urls = {"platform": {"urls": [f"http://{self.platform.address}"]}}
-        settings = merged(merged(settings, urls), changes)
+        settings = merge_nested(merge_nested(settings, urls), changes)
         path = self.folder / f"{name}-{len(self.processes)}.yaml"
         path.write_text(yaml.safe_dump(settings))
         argv = [sys.executable, "-m", "gypsumusher_daemon", "--settings", str(path)]
@@ -414,7 +414,7 @@
             The daemons and the engines.
         """
         await self.start_platform()
-        section = merged(DEPLOYMENT, deployment or {})
+        section = merge_nested(DEPLOYMENT, deployment or {})
         document = {
             "deployments": {"letter-models": section},
             "services": {"counter-api": {}},
@@ -464,7 +464,7 @@
 
         await wait_until(are_ready, "the daemons to be ready")
 
-    async def runs_of(self, prompt, engines):
+    async def count_runs(self, prompt, engines):
         """Return how often a prompt ran on some engines, prefill stages left out."""
         runs = 0
         for engine in engines:
