--- a/libs/entry/tests/test_host.py
+++ b/libs/entry/tests/test_host.py
@@ -11,26 +11,33 @@
     RESUMABLE_ROUTE,
     STREAM_ROUTE,
     HostHarness,
-    configuration,
-    entry,
     not_run,
     run,
+    sample_configuration,
+    sample_endpoint_entry,
     settings,
     until,
 )
 from processes import free_ports
-from replies import ScriptedEndpoint, answer_to, chunk, request_id_of
+from scripted_endpoint import (
+    ScriptedEndpoint,
+    encode_chunk,
+    encode_response,
+    request_id_of,
+)
 
 from gypsumusher_entry.host import EntryHost
 from gypsumusher_standins.object_store import ObjectStore
 
 
 async def healthy(number, head, body, writer):
-    writer.write(answer_to(request_id_of(head)))
+    writer.write(encode_response(request_id_of(head)))
 
 
 async def broken(number, head, body, writer):
-    writer.write(answer_to(request_id_of(head), b"half", framing="Content-Length: 9"))
+    writer.write(
+        encode_response(request_id_of(head), b"half", framing="Content-Length: 9")
+    )
     writer.close()
 
 
@@ -39,7 +46,9 @@
 
 
 async def failing(number, head, body, writer):
-    writer.write(answer_to(request_id_of(head), b"no", "500 Internal Server Error"))
+    writer.write(
+        encode_response(request_id_of(head), b"no", "500 Internal Server Error")
+    )
 
 
 def test_endpoint_response_is_forwarded_unchanged():
@@ -175,12 +184,16 @@
     # to name the engine, so that a slow engine can be found. It named none.
     async def scenario():
         async with HostHarness(silent, healthy, routes=(STREAM_ROUTE,)) as harness:
-            content = configuration(2, STREAM_ROUTE)
+            content = sample_configuration(2, STREAM_ROUTE)
             content["services"][0]["engine"] = {"slots": 8}
             harness.store.put("config", "main", content)
             states = harness.host.context.endpoints.states
             address = states["e-0"].record.address
-            harness.store.put("servers", "e-0", entry(address, stage="prefill", beat=9))
+            harness.store.put(
+                "servers",
+                "e-0",
+                sample_endpoint_entry(address, stage="prefill", sequence=9),
+            )
             await until(lambda: harness.host.context.configuration_version == 2)
             await until(lambda: states["e-0"].record.stage == "prefill")
             asking = harness.ask(
@@ -290,16 +303,22 @@
     async def scenario():
         async with HostHarness(healthy) as harness:
             harness.store.put(
-                "config", "main", configuration(5, IDEMPOTENT_ROUTE, IDEMPOTENT_ROUTE)
+                "config",
+                "main",
+                sample_configuration(5, IDEMPOTENT_ROUTE, IDEMPOTENT_ROUTE),
             )
             context = harness.host.context
             await until(lambda: context.configuration_version == 5)
             assert (await harness.ask(path="/1/x"))[0] == 200
-            harness.store.put("config", "main", configuration(4, IDEMPOTENT_ROUTE))
+            harness.store.put(
+                "config", "main", sample_configuration(4, IDEMPOTENT_ROUTE)
+            )
             harness.store.put(
                 "config",
                 "main",
-                configuration(7, IDEMPOTENT_ROUTE, IDEMPOTENT_ROUTE, IDEMPOTENT_ROUTE),
+                sample_configuration(
+                    7, IDEMPOTENT_ROUTE, IDEMPOTENT_ROUTE, IDEMPOTENT_ROUTE
+                ),
             )
             await until(lambda: context.configuration_version == 7)
             versions = [
@@ -330,7 +349,9 @@
     async def scenario():
         async with HostHarness(healthy, healthy) as harness:
             address = harness.host.context.endpoints.states["e-0"].record.address
-            harness.store.put("servers", "e-0", entry(address, "draining", beat=2))
+            harness.store.put(
+                "servers", "e-0", sample_endpoint_entry(address, "draining", sequence=2)
+            )
             await until(
                 lambda: harness.host.context.endpoints.states["e-0"].record.is_draining
             )
@@ -347,11 +368,23 @@
     async def scenario():
         async with HostHarness(healthy) as harness:
             for number, content in enumerate(
-                (None, 7, [], {}, "text", entry("nowhere"), entry("10.0.0.1:80", "odd"))
+                (
+                    None,
+                    7,
+                    [],
+                    {},
+                    "text",
+                    sample_endpoint_entry("nowhere"),
+                    sample_endpoint_entry("10.0.0.1:80", "odd"),
+                )
             ):
                 harness.store.put("servers", f"odd-{number}", content)
-            harness.store.put("servers", "odd-slots", entry("10.0.0.1:80", slots=True))
-            harness.store.put("servers", "last", entry("10.0.0.9:80", "draining"))
+            harness.store.put(
+                "servers", "odd-slots", sample_endpoint_entry("10.0.0.1:80", slots=True)
+            )
+            harness.store.put(
+                "servers", "last", sample_endpoint_entry("10.0.0.9:80", "draining")
+            )
             states = harness.host.context.endpoints.states
             await until(lambda: "last" in states)
             assert set(states) == {"e-0", "last"}
@@ -376,7 +409,9 @@
             )
             assert (await harness.ask())[0] == 200
             harness.store.put(
-                "config", "main", configuration(9, IDEMPOTENT_ROUTE, IDEMPOTENT_ROUTE)
+                "config",
+                "main",
+                sample_configuration(9, IDEMPOTENT_ROUTE, IDEMPOTENT_ROUTE),
             )
             harness.store.fault = ""
             await until(lambda: context.configuration_version == 9)
@@ -393,8 +428,12 @@
             await until(lambda: context.sees_store)
             watches = context.watches_store
             context.watches_store = lambda: False
-            harness.store.put("config", "main", configuration(2, IDEMPOTENT_ROUTE))
-            harness.store.put("servers", "e-9", entry("10.0.0.9:80", "draining"))
+            harness.store.put(
+                "config", "main", sample_configuration(2, IDEMPOTENT_ROUTE)
+            )
+            harness.store.put(
+                "servers", "e-9", sample_endpoint_entry("10.0.0.9:80", "draining")
+            )
             await until(lambda: not context.sees_store)
             context.watches_store = watches
             await until(lambda: context.sees_store)
@@ -450,9 +489,9 @@
         store, refusing_store = ObjectStore(), ObjectStore()
         refusing_store.fault = "refuse"
         address, refusing_address = await store.start(), await refusing_store.start()
-        store.put("config", "main", configuration(1, IDEMPOTENT_ROUTE))
+        store.put("config", "main", sample_configuration(1, IDEMPOTENT_ROUTE))
         endpoint = ScriptedEndpoint(healthy)
-        store.put("servers", "e-0", entry(await endpoint.start()))
+        store.put("servers", "e-0", sample_endpoint_entry(await endpoint.start()))
         port = free_ports("127.0.0.2", 1)[0]
         peer = EntryHost(
             settings(address, "127.0.0.2", "host-2", (), port), lambda *a, **f: None
@@ -471,7 +510,9 @@
         peer.context.hosts.on_record(0.0, "host-3", "127.0.0.3")
         await until(lambda: host.context.configuration_version == 1)
         store.put(
-            "config", "main", configuration(4, IDEMPOTENT_ROUTE, IDEMPOTENT_ROUTE)
+            "config",
+            "main",
+            sample_configuration(4, IDEMPOTENT_ROUTE, IDEMPOTENT_ROUTE),
         )
         await until(lambda: host.context.configuration_version == 4)
         assert list(host.context.endpoints.states) == ["e-0"]
@@ -494,13 +535,15 @@
         if b"Last-Event-Id: " in head:
             first = 1 + int(head.split(b"Last-Event-Id: ")[1].split(b"\r\n")[0])
         writer.write(
-            answer_to(request_id_of(head), b"", framing="Transfer-Encoding: chunked")
+            encode_response(
+                request_id_of(head), b"", framing="Transfer-Encoding: chunked"
+            )
         )
         for event in events[first:] if is_ended else events[first:3]:
-            writer.write(chunk(event))
+            writer.write(encode_chunk(event))
         if not is_ended:
             # Half an event, then the connection is closed.
-            writer.write(chunk(events[3][:4]))
+            writer.write(encode_chunk(events[3][:4]))
             writer.close()
             return
         writer.write(b"0\r\n\r\n")
--- a/libs/entry/tests/test_peer_sync.py
+++ b/libs/entry/tests/test_peer_sync.py
@@ -6,13 +6,13 @@
 import pytest
 from host_harness import (
     IDEMPOTENT_ROUTE,
-    configuration,
-    entry,
     host_without_store,
     run,
+    sample_configuration,
+    sample_endpoint_entry,
     until,
 )
-from platform_samples import many_routes
+from platform_samples import sample_routes
 
 from gypsumusher_entry.sync_messages import (
     SyncResponse,
@@ -38,7 +38,7 @@
             store.put(
                 "config",
                 "main",
-                configuration(2, *many_routes(MANY_ROUTES, IDEMPOTENT_ROUTE)),
+                sample_configuration(2, *sample_routes(MANY_ROUTES, IDEMPOTENT_ROUTE)),
             )
             await until(lambda: context.configuration_version == 2)
             assert len(context.configuration.routes) == MANY_ROUTES
@@ -58,16 +58,16 @@
                 hosts.context,
                 hosts.lines,
             )
-            link.set_holds(False, True)
+            link.set_blocked(False, True)
             store.put(
                 "config",
                 "main",
-                configuration(2, *many_routes(MANY_ROUTES, IDEMPOTENT_ROUTE)),
+                sample_configuration(2, *sample_routes(MANY_ROUTES, IDEMPOTENT_ROUTE)),
             )
             await until(lambda: "peer_not_heard" in [event for event, _ in lines])
             assert context.configuration_version == 1
             assert list(context.endpoints.states) == ["e-0"]
-            link.set_holds(False, False)
+            link.set_blocked(False, False)
             link.reset()
             await until(lambda: context.configuration_version == 2)
 
@@ -79,9 +79,11 @@
     # metrics have to show it; otherwise the host looks healthy to operators.
     async def scenario():
         async with host_without_store() as hosts:
-            hosts.link.set_holds(False, True)
+            hosts.link.set_blocked(False, True)
             hosts.store.put(
-                "config", "main", configuration(2, IDEMPOTENT_ROUTE, IDEMPOTENT_ROUTE)
+                "config",
+                "main",
+                sample_configuration(2, IDEMPOTENT_ROUTE, IDEMPOTENT_ROUTE),
             )
             await until(lambda: "news_overdue" in [event for event, _ in hosts.lines])
             fields = dict(hosts.lines)["news_overdue"]
@@ -89,7 +91,7 @@
             assert fields["newest"] == 2
             page = hosts.context.metrics.render()[0].decode()
             assert "gypsumusher_configuration_version 1" in page
-            hosts.link.set_holds(False, False)
+            hosts.link.set_blocked(False, False)
             hosts.link.reset()
             await until(lambda: "news_caught_up" in [event for event, _ in hosts.lines])
             assert hosts.context.configuration_version == 2
@@ -118,7 +120,7 @@
             # Before that the peer waits for entries that may return.
             await until(lambda: context.endpoints.revision > 0)
             line_count = len(hosts.lines)
-            changed = entry(addresses[0], "draining", beat=2)
+            changed = sample_endpoint_entry(addresses[0], "draining", sequence=2)
             hosts.store.put("servers", "e-0", changed)
             states = context.endpoints.states
             await until(lambda: states["e-0"].record.is_draining)
@@ -160,7 +162,7 @@
 
 def sync_response(routes=1, endpoints=1):
     """Return a response with a number of routes and endpoints."""
-    content = configuration(7, *many_routes(routes, IDEMPOTENT_ROUTE))
+    content = sample_configuration(7, *sample_routes(routes, IDEMPOTENT_ROUTE))
     stored = StoredObject("main", 5, content, None)
     return SyncResponse(stored, records(endpoints), 9, True)
 
@@ -180,7 +182,7 @@
     assert decode_sync_response("a", encoder.encode(first)) == first
     assert decode_sync_response("a", encoder.encode(first)) == first
     newer = first.configuration._replace(
-        revision=6, content=configuration(8, IDEMPOTENT_ROUTE)
+        revision=6, content=sample_configuration(8, IDEMPOTENT_ROUTE)
     )
     second = first._replace(configuration=newer)
     assert decode_sync_response("a", encoder.encode(second)) == second
@@ -228,7 +230,7 @@
             )
             link.target = f"127.0.0.1:{port}"
             link.reset()
-            store.put("config", "main", configuration(2, IDEMPOTENT_ROUTE))
+            store.put("config", "main", sample_configuration(2, IDEMPOTENT_ROUTE))
             await until(lambda: "peer_not_heard" in [event for event, _ in lines])
             fields = dict(lines)["peer_not_heard"]
             assert "over" in fields["error"]
--- a/libs/entry/tests/test_retry_budget.py
+++ b/libs/entry/tests/test_retry_budget.py
@@ -9,14 +9,14 @@
     BOUNDS,
     STREAM_ROUTE,
     HostHarness,
-    configuration,
-    entry,
     not_run,
     run,
+    sample_configuration,
+    sample_endpoint_entry,
     settings,
     until,
 )
-from replies import answer_to, request_id_of
+from scripted_endpoint import encode_response, request_id_of
 
 from gypsumusher_entry.context import Context
 from gypsumusher_entry.exchange import Exchange
@@ -31,13 +31,13 @@
 
 async def make_engines(harness, *stages, route=STREAM_ROUTE):
     """Turn the endpoints into engines with these stages."""
-    content = configuration(2, route)
+    content = sample_configuration(2, route)
     content["services"][0]["engine"] = {"slots": 8}
     harness.store.put("config", "main", content)
     states = harness.host.context.endpoints.states
     for number, stage in enumerate(stages):
         address = states[f"e-{number}"].record.address
-        fields = entry(address, stage=stage, beat=9)
+        fields = sample_endpoint_entry(address, stage=stage, sequence=9)
         harness.store.put("servers", f"e-{number}", fields)
     await until(lambda: harness.host.context.configuration_version == 2)
     wanted = list(stages)
@@ -73,10 +73,10 @@
     async def prefills_late(number, head, body, writer):
         await asyncio.sleep(0.3)
         prefilled = b'{"handle": "h", "tokens": 30000, "version": 1}'
-        writer.write(answer_to(request_id_of(head), prefilled))
+        writer.write(encode_response(request_id_of(head), prefilled))
 
     async def streams(number, head, body, writer):
-        writer.write(answer_to(request_id_of(head), b"id: 0\ndata: x\n\n"))
+        writer.write(encode_response(request_id_of(head), b"id: 0\ndata: x\n\n"))
 
     async def scenario():
         route = {**STREAM_ROUTE, "timeout_ms": 7000, "goal_ms": 1500}
@@ -197,7 +197,7 @@
 
 def test_isolated_hosts_share_endpoint_connections():
     """Each of four isolated hosts opened nearly all connections of an endpoint."""
-    content = decode_configuration(configuration(1, AT_MOST_ONCE_ROUTE))
+    content = decode_configuration(sample_configuration(1, AT_MOST_ONCE_ROUTE))
     sums = []
     for received_s in (30.0, 0.0):
         hosts = create_hosts(received_s, now_s=30.0)[:4]
