--- a/libs/peers/gypsumusher_peers/client.py
+++ b/libs/peers/gypsumusher_peers/client.py
@@ -1,4 +1,4 @@
-"""The opening side: one lasting connection to one peer, opened again as it breaks."""
+"""Client side: one persistent connection to a peer, reopened whenever it breaks."""
 
 import asyncio
 import random
@@ -24,8 +24,9 @@
 MAX_OUTSTANDING = 64
 INITIAL_BACKOFF_S = 0.05
 MAX_BACKOFF_S = 2.0
-# What a peer that reads slowly may leave unsent before requests are refused.
-UNSENT_LIMIT_BYTES = 4 * FRAME_LIMIT_BYTES
+# Most bytes in the write buffer, which a slowly reading peer fills; beyond it new
+# requests are refused.
+WRITE_BUFFER_LIMIT_BYTES = 4 * FRAME_LIMIT_BYTES
 
 
 class Connection:
@@ -35,20 +36,21 @@
         self.reader = reader
         self.writer = writer
         self.session = session
-        self.answers = {}
-        self.frames_read = 0
+        # Future of the response, by request id.
+        self.outstanding = {}
+        self.frames_received = 0
 
     def is_usable(self):
         """Return whether a request may be written."""
         return not self.writer.is_closing()
 
-    def unsent_bytes(self):
-        """Return the bytes that were written but not yet taken by the socket."""
+    def write_buffer_bytes(self):
+        """Return the bytes that were written but not yet accepted by the socket."""
         return self.writer.transport.get_write_buffer_size()
 
 
 class PeerClient:
-    """Requests to one peer over one connection.
+    """Sends requests to one peer over one connection.
 
     Parameters
     ----------
@@ -61,19 +63,22 @@
     keys : KeyRing
         Its first key opens connections.
     expected_host : str, optional
-        Name that the peer has to prove; an address may since belong to another host.
+        Host name that the peer has to authenticate as; the address may meanwhile
+        belong to another host.
     on_error : callable, optional
-        Function of a `PeerError`, told of each connection that failed.
+        Function of a `PeerError`, called for each connection that failed.
     connect_timeout_s, frame_timeout_s : float
-        Longest connect and handshake, each, and longest time for one frame.
+        Longest time for the connect and again for the handshake, and longest time to
+        receive one frame.
     max_outstanding : int
-        Bound on unanswered requests; more are refused at once.
+        Limit of unanswered requests; further requests are refused at once.
     initial_backoff_s, max_backoff_s : float
-        Wait before the second try to connect, doubled up to the limit.
+        Wait before the second connection attempt, and the limit up to which the wait
+        doubles with each further attempt.
     max_message_bytes : int
-        Largest message.
+        Largest message, in either direction.
     random_float : callable
-        Gives a number from [0, 1) for the back-off's jitter.
+        Returns a number from [0, 1) for the jitter of the back-off.
     """
 
     def __init__(
@@ -110,23 +115,23 @@
         self._connection = None
         self._connected = asyncio.Event()
         self._outstanding = 0
-        self._last_id = 0
-        self._last_detail = "not connected yet"
-        self._last_kind = CONNECT
+        self._last_request_id = 0
+        self._last_error_detail = "not connected yet"
+        self._last_error_kind = CONNECT
 
     @property
     def peer(self):
-        """The peer's proven `Identity` while connected, else None."""
+        """The peer's authenticated `Identity` while connected, else None."""
         if self._connection is None:
             return None
         return self._connection.session.peer
 
     async def start(self):
-        """Begin to connect, and keep on until `close`."""
+        """Start connecting in the background, and reconnect until `close`."""
         self._task = asyncio.create_task(self._keep_connected())
 
     async def close(self):
-        """End the connection; outstanding requests fail as sent."""
+        """Close the connection; outstanding requests fail with ``sent`` true."""
         if self._task is None:
             return
         self._task.cancel()
@@ -134,42 +139,48 @@
         self._task = None
 
     async def request(self, message, timeout_s) -> Result[dict, PeerError]:
-        """Send a request and wait for its answer.
+        """Send a request and wait for its response.
 
         Parameters
         ----------
         message : dict
-            What the peer's handler gets.
+            Passed to the peer's request handler.
         timeout_s : float
-            Longest wait in all, for the connection and for the answer.
+            Longest wait in total, for the connection and for the response.
 
         Returns
         -------
         Result[dict, PeerError]
-            The answer. An error with ``sent`` false promises that no byte of the
+            The response. An error with ``sent`` false guarantees that no byte of the
             request was written.
         """
         if self._outstanding >= self._max_outstanding:
-            return self._failure(OVERLOADED, "request", False, "too many outstanding")
+            return self._failure(
+                OVERLOADED, "request", False, "too many outstanding requests"
+            )
         self._outstanding += 1
         try:
-            return await self._request(message, timeout_s)
+            return await self._send_request(message, timeout_s)
         finally:
             self._outstanding -= 1
 
-    async def _request(self, message, timeout_s):
+    async def _send_request(self, message, timeout_s):
         loop = asyncio.get_running_loop()
-        end_s = loop.time() + timeout_s
-        self._drop_old_key()
+        deadline_s = loop.time() + timeout_s
+        self._close_if_key_replaced()
         try:
-            async with asyncio.timeout_at(end_s):
-                connection = await self._usable_connection()
+            async with asyncio.timeout_at(deadline_s):
+                connection = await self._wait_for_connection()
         except TimeoutError:
-            return self._failure(self._last_kind, "connect", False, self._last_detail)
-        if connection.unsent_bytes() > UNSENT_LIMIT_BYTES:
-            return self._failure(OVERLOADED, "request", False, "the peer reads slowly")
-        self._last_id += 1
-        request_id = self._last_id
+            return self._failure(
+                self._last_error_kind, "connect", False, self._last_error_detail
+            )
+        if connection.write_buffer_bytes() > WRITE_BUFFER_LIMIT_BYTES:
+            return self._failure(
+                OVERLOADED, "request", False, "write buffer is full: peer reads slowly"
+            )
+        self._last_request_id += 1
+        request_id = self._last_request_id
         body = {"id": request_id, "request": message}
         try:
             write_message(
@@ -177,27 +188,29 @@
             )
         except ProtocolFault as fault:
             return self._failure(fault.kind, "request", False, fault.detail)
-        return await self._answer(connection, request_id, end_s)
+        return await self._wait_for_response(connection, request_id, deadline_s)
 
-    async def _answer(self, connection, request_id, end_s):
-        answered = asyncio.get_running_loop().create_future()
-        connection.answers[request_id] = answered
-        frames_read = connection.frames_read
+    async def _wait_for_response(self, connection, request_id, deadline_s):
+        response = asyncio.get_running_loop().create_future()
+        connection.outstanding[request_id] = response
+        frames_received = connection.frames_received
         try:
-            async with asyncio.timeout_at(end_s):
-                return await answered
+            async with asyncio.timeout_at(deadline_s):
+                return await response
         except TimeoutError:
-            # A peer that is cut off or paused leaves its connection open for minutes
-            # and every request on it would run into its own time-out. If nothing at
-            # all came since the request, the connection is given up and a new one
-            # shows whether the peer is there.
-            if connection.frames_read == frames_read:
+            # The connection to an unreachable or paused peer stays open for minutes,
+            # and every request on it would run into its own time-out. If no frame at
+            # all arrived since the request, the connection is aborted; opening a new
+            # one shows whether the peer is reachable.
+            if connection.frames_received == frames_received:
                 connection.writer.transport.abort()
-            return self._failure(TIMEOUT, "request", True, "no answer in time")
+            return self._failure(
+                TIMEOUT, "request", True, "no response before the time-out"
+            )
         finally:
-            connection.answers.pop(request_id, None)
+            connection.outstanding.pop(request_id, None)
 
-    async def _usable_connection(self):
+    async def _wait_for_connection(self):
         while True:
             connection = self._connection
             if connection is not None and connection.is_usable():
@@ -205,12 +218,12 @@
             self._connected.clear()
             await self._connected.wait()
 
-    def _drop_old_key(self):
-        # After a rotation the connection is opened again under the new key at a
-        # moment when no request is on it, so that the old key can be taken away
-        # without cutting one.
+    def _close_if_key_replaced(self):
+        # After a key rotation the connection is reopened under the new key while it
+        # has no outstanding request, so that removing the old key later does not
+        # interrupt one.
         connection = self._connection
-        if connection is None or connection.answers:
+        if connection is None or connection.outstanding:
             return
         if connection.session.key_id == self._keys.signing_key.key_id:
             return
@@ -219,43 +232,46 @@
     async def _keep_connected(self):
         backoff_s = self._initial_backoff_s
         while True:
-            started = await self._connect()
-            if started:
+            was_open = await self._connect()
+            if was_open:
                 backoff_s = self._initial_backoff_s
-            # The jitter keeps a cell's hosts from coming back to a restarted peer
-            # all at once.
+            # Without jitter all hosts of a cell would reconnect to a restarted peer
+            # at the same moment.
             await asyncio.sleep(backoff_s * (0.5 + self._random_float() / 2))
             backoff_s = min(backoff_s * 2, self._max_backoff_s)
 
     async def _connect(self):
-        """Connect once and read until the connection ends; return if it opened."""
+        """Connect once and read until the connection ends.
+
+        Returns whether the handshake succeeded, so that the connection was usable.
+        """
         try:
             async with asyncio.timeout(self._connect_timeout_s):
                 reader, writer = await asyncio.open_connection(self._ip, self._port)
         except (OSError, TimeoutError) as error:
-            self._note_failure(CONNECT, "connect", f"{type(error).__name__}: {error}")
+            self._report_error(CONNECT, "connect", f"{type(error).__name__}: {error}")
             return False
         try:
-            return await self._use(reader, writer)
+            return await self._run_connection(reader, writer)
         finally:
             writer.transport.abort()
 
-    async def _use(self, reader, writer):
+    async def _run_connection(self, reader, writer):
         try:
             session = await open_session(
                 reader, writer, self._identity, self._keys, self._connect_timeout_s
             )
             self._check_host(session)
         except ProtocolFault as fault:
-            self._note_failure(fault.kind, "handshake", fault.detail)
+            self._report_error(fault.kind, "handshake", fault.detail)
             return False
         connection = Connection(reader, writer, session)
         self._connection = connection
         self._connected.set()
         try:
-            await self._read_answers(connection)
+            await self._read_responses(connection)
         except ProtocolFault as fault:
-            self._note_failure(fault.kind, "read", fault.detail)
+            self._report_error(fault.kind, "read", fault.detail)
         finally:
             self._connection = None
             self._fail_outstanding(connection)
@@ -266,10 +282,11 @@
         if expected is None or session.peer.host == expected:
             return
         raise ProtocolFault(
-            HANDSHAKE, f"expected host {expected!r}, found {session.peer.host!r}"
+            HANDSHAKE,
+            f"expected host {expected!r}, peer authenticated as {session.peer.host!r}",
         )
 
-    async def _read_answers(self, connection):
+    async def _read_responses(self, connection):
         while True:
             message = await read_message(
                 connection.reader,
@@ -278,33 +295,37 @@
                 None,
                 self._frame_timeout_s,
             )
-            connection.frames_read += 1
+            connection.frames_received += 1
             request_id = message.get("id")
             if not isinstance(request_id, int):
-                raise ProtocolFault(MALFORMED, "an answer without an id")
-            answered = connection.answers.get(request_id)
-            if answered is None or answered.done():
-                # The answer to a request whose time was over.
+                raise ProtocolFault(MALFORMED, "response without a request id")
+            response = connection.outstanding.get(request_id)
+            if response is None or response.done():
+                # The request timed out before its response arrived.
                 continue
-            answered.set_result(self._result(message))
+            response.set_result(self._parse_response(message))
 
-    def _result(self, message):
-        answer = message.get("answer")
-        if isinstance(answer, dict):
-            return Success(answer)
+    def _parse_response(self, message):
+        body = message.get("answer")
+        if isinstance(body, dict):
+            return Success(body)
         if "error" in message:
             return self._failure(REMOTE, "request", True, str(message["error"])[:64])
-        return self._failure(MALFORMED, "request", True, "no answer in the message")
+        return self._failure(
+            MALFORMED, "request", True, "response has neither answer nor error"
+        )
 
     def _fail_outstanding(self, connection):
-        for answered in connection.answers.values():
-            if not answered.done():
-                failure = self._failure(CLOSED, "request", True, "connection ended")
-                answered.set_result(failure)
-
-    def _note_failure(self, kind, step, detail):
-        self._last_kind = kind
-        self._last_detail = detail
+        for response in connection.outstanding.values():
+            if not response.done():
+                failure = self._failure(
+                    CLOSED, "request", True, "connection ended before the response"
+                )
+                response.set_result(failure)
+
+    def _report_error(self, kind, step, detail):
+        self._last_error_kind = kind
+        self._last_error_detail = detail
         if self._on_error is not None:
             self._on_error(PeerError(kind, step, self._peer_name(), False, detail))
 
--- a/libs/peers/gypsumusher_peers/errors.py
+++ b/libs/peers/gypsumusher_peers/errors.py
@@ -1,4 +1,4 @@
-"""The one error of peer connections, and the exception that carries it inside."""
+"""The error value that peer connections return, and the exception used internally."""
 
 from typing import NamedTuple
 
@@ -20,19 +20,20 @@
     Parameters
     ----------
     kind : str
-        ``connect`` (no connection), ``handshake`` (not authenticated), ``version``
-        (another protocol version), ``malformed``, ``forged`` (a wrong MAC),
-        ``too_large``, ``timeout``, ``closed``, ``overloaded`` (a bound was reached)
-        or ``remote`` (the peer's handler failed).
+        ``connect`` (no connection), ``handshake`` (authentication failed),
+        ``version`` (the peer uses another protocol version), ``malformed`` (invalid
+        message), ``forged`` (wrong MAC), ``too_large``, ``timeout``, ``closed``,
+        ``overloaded`` (a limit was reached) or ``remote`` (the peer's request handler
+        failed).
     step : str
         ``connect``, ``accept``, ``handshake``, ``read``, ``write`` or ``request``.
     peer : str
-        The peer's name once it is authenticated, else ``IP:PORT``.
+        The peer's host name once it is authenticated, else ``IP:PORT``.
     sent : bool
-        Whether the peer may have acted on the request. False is a promise: no byte
+        Whether the peer may have acted on the request. False guarantees that no byte
         of the request was written.
     detail : str
-        What was seen, for the log; never a secret or a payload.
+        Description of the failure, for the log; never contains a secret or a payload.
     """
 
     kind: str
@@ -43,14 +44,17 @@
 
 
 class ProtocolFault(Exception):
-    """Bytes that the protocol doesn't allow; the connection ends.
+    """A protocol violation, a time-out or a lost connection, raised in this package.
+
+    Raised while reading it ends the connection; raised while a message is packed or
+    measured for writing it fails that message only.
 
     Parameters
     ----------
     kind : str
         As in `PeerError`.
     detail : str
-        What was wrong.
+        As in `PeerError`.
     """
 
     def __init__(self, kind, detail):
--- a/libs/peers/gypsumusher_peers/framing.py
+++ b/libs/peers/gypsumusher_peers/framing.py
@@ -1,18 +1,20 @@
-"""Length-prefixed msgpack frames with limits on every size, without input or output."""
+"""Length-prefixed msgpack frames with a limit on every size; performs no I/O."""
 
 import msgpack
 
 from gypsumusher_peers.errors import MALFORMED, TOO_LARGE, ProtocolFault
 
+# Size of the big-endian payload length in front of each payload.
 LENGTH_BYTES = 4
+# Largest payload, unless the caller sets another limit.
 FRAME_LIMIT_BYTES = 1024 * 1024
-# A msgpack header of five bytes can announce four thousand million items, and the
-# unpacker allocates an array of the announced size before it looks for the items.
-# Headers nest, so that the limit of items bounds what a short frame can allocate: 8
-# bytes an item for each of the unpacker's levels, some 64 MB for a moment at the very
-# worst, and only from a peer that holds the key. A stranger's messages are unpacked
-# under the handshake's limit.
+# Most items of any one array or map in a message. A msgpack header of five bytes can
+# announce about four billion items, and the unpacker allocates an array of the
+# announced size before it reads the items. Because headers nest, this limit bounds
+# what a short frame can allocate: 8 bytes an item for each nesting level of the
+# unpacker, about 64 MB for a moment at worst, and only for a peer that holds the key.
 ITEMS_LIMIT = 16384
+# The same limit for messages from peers that are not authenticated yet.
 HANDSHAKE_ITEMS_LIMIT = 16
 
 
@@ -22,12 +24,12 @@
     Raises
     ------
     ProtocolFault
-        If it holds something that msgpack can't carry.
+        If the message contains a value that msgpack can't encode.
     """
     try:
         return msgpack.packb(message, use_bin_type=True)
     except (TypeError, ValueError, OverflowError, RecursionError) as error:
-        raise ProtocolFault(MALFORMED, f"cannot pack: {error}") from error
+        raise ProtocolFault(MALFORMED, f"cannot pack message: {error}") from error
 
 
 def unpack(payload, items_limit=ITEMS_LIMIT):
@@ -36,19 +38,19 @@
     Parameters
     ----------
     payload : bytes
-        One frame's payload, whose length is already bounded.
+        The payload of one frame, whose length was checked already.
     items_limit : int
         Most items of any one array or map.
 
     Returns
     -------
     dict
-        The message, with text keys at its top level.
+        The message; its top-level keys are strings.
 
     Raises
     ------
     ProtocolFault
-        If it isn't one whole msgpack map within the limits.
+        If the payload isn't exactly one msgpack map within the limits.
     """
     size = len(payload)
     try:
@@ -62,35 +64,36 @@
             max_map_len=min(size, items_limit),
             max_ext_len=0,
         )
-    # The unpacker's errors are ValueErrors for all but keys that can't be hashed.
+    # The unpacker raises ValueErrors, except a TypeError for unhashable map keys.
     except (ValueError, TypeError, RecursionError) as error:
-        raise ProtocolFault(MALFORMED, f"cannot unpack: {error}") from error
+        raise ProtocolFault(MALFORMED, f"cannot unpack message: {error}") from error
     if not isinstance(message, dict):
         raise ProtocolFault(MALFORMED, f"expected a map, got {type(message).__name__}")
     if not all(isinstance(key, str) for key in message):
-        raise ProtocolFault(MALFORMED, "expected text keys")
+        raise ProtocolFault(MALFORMED, "expected string keys at the top level")
     return message
 
 
 def frame(payload, limit_bytes=FRAME_LIMIT_BYTES):
-    """Return a payload behind its length.
+    """Return a payload with its length in front.
 
     Raises
     ------
     ProtocolFault
-        If the payload is over the limit or empty.
+        If the payload is empty or longer than the limit.
     """
     check_length(len(payload), limit_bytes)
     return len(payload).to_bytes(LENGTH_BYTES, "big") + payload
 
 
 def read_length(header, limit_bytes=FRAME_LIMIT_BYTES):
-    """Return the payload's length in bytes that a frame's header announces.
+    """Return the payload length in bytes that a frame's header announces.
 
     Raises
     ------
     ProtocolFault
-        If it is over the limit or zero, before anything is allocated for it.
+        If the length is zero or over the limit. Called before the payload is read, so
+        that nothing is allocated for such a frame.
     """
     length = int.from_bytes(header, "big")
     check_length(length, limit_bytes)
@@ -100,8 +103,8 @@
 def check_length(length, limit_bytes):
     """Raise a ProtocolFault unless a payload's length is within the limit."""
     if length == 0:
-        raise ProtocolFault(MALFORMED, "an empty frame")
+        raise ProtocolFault(MALFORMED, "empty frame")
     if length > limit_bytes:
         raise ProtocolFault(
-            TOO_LARGE, f"a frame of {length} bytes is over the limit of {limit_bytes}"
+            TOO_LARGE, f"frame of {length} bytes exceeds the limit of {limit_bytes}"
         )
--- a/libs/peers/gypsumusher_peers/handshake.py
+++ b/libs/peers/gypsumusher_peers/handshake.py
@@ -1,17 +1,21 @@
-"""Mutual authentication by a shared key, and frames that can't be forged.
+"""Mutual authentication by a shared key, and frames authenticated by a MAC.
 
-Both sides prove by HMAC-SHA256 over both nonces and both identities that they hold
-the same key. From it each direction gets a key of its own, and each frame carries a
-MAC over its number, so that a frame that was forged, replayed, dropped, reordered or
-sent back to its sender ends the connection. Payloads are not encrypted: between the
-hosts go probes, loads and configuration, never prompts or answers.
+Each side proves by an HMAC-SHA256 over both nonces and both identities that it holds
+the shared key. The same key and values yield one key for each direction, and each
+frame carries a MAC over its sequence number and payload. A frame that was forged,
+replayed, dropped, reordered or sent back to its sender therefore ends the connection.
+Payloads are not encrypted: hosts exchange probes, load reports and configuration,
+never prompts or completions.
+
+The initiator is the side that opened the connection, the responder the side that
+accepted it.
 
 Notes
 -----
 The alternative was TLS with client certificates from the standard library. It needs a
-certificate authority and files on hosts that have no disks, and a rotation without a
-stop means reloading contexts; an HMAC over one shared setting needs neither. It would
-be the choice if payloads had to be secret on the wire.
+certificate authority and files on hosts that have no disks, and rotating certificates
+without a restart means reloading TLS contexts; an HMAC over one shared setting needs
+neither. TLS would be the choice if payloads had to be confidential on the network.
 
 References
 ----------
@@ -34,21 +38,24 @@
 PROTOCOL = "gypsumusher-peers"
 PROTOCOL_VERSION = 1
 NONCE_BYTES = 32
+# HMAC-SHA256 truncated to 128 bits.
 MAC_BYTES = 16
-COUNTER_BYTES = 8
+SEQUENCE_NUMBER_BYTES = 8
+# Largest handshake message, which comes from a peer that is not authenticated yet.
 HANDSHAKE_LIMIT_BYTES = 4096
-NAME_LIMIT_CHARS = 256
+# Longest key id, host name or incarnation in a handshake message.
+TEXT_LIMIT_CHARS = 256
 
 
 class Identity(NamedTuple):
-    """Who a process is: its host's name and the incarnation drawn at its start."""
+    """A process: its host's name and the incarnation id drawn at each start."""
 
     host: str
     incarnation: str
 
 
 class Hello(NamedTuple):
-    """The opening side's first message."""
+    """The initiator's first message."""
 
     key_id: str
     identity: Identity
@@ -56,64 +63,64 @@
 
 
 class Channel:
-    """One direction of an authenticated connection: seals or opens its frames.
+    """One direction of an authenticated connection: adds or verifies frame MACs.
 
     Parameters
     ----------
     key : bytes
-        The direction's own key.
+        MAC key of this direction.
     """
 
     def __init__(self, key):
         self._key = key
-        self._count = 0
+        self._sequence_number = 0
 
     def seal(self, payload):
-        """Return the payload behind its MAC; counts the frame."""
-        return self._mac(payload) + payload
+        """Return the payload with its MAC in front, and advance the sequence number."""
+        return self._next_mac(payload) + payload
 
     def open(self, sealed):
-        """Return the payload of the next frame.
+        """Verify the next frame and return its payload.
 
         Raises
         ------
         ProtocolFault
             If the MAC isn't that of the next frame in this direction.
         """
-        seen = bytes(sealed[:MAC_BYTES])
+        received_mac = bytes(sealed[:MAC_BYTES])
         payload = sealed[MAC_BYTES:]
-        if not hmac.compare_digest(seen, self._mac(payload)):
-            raise ProtocolFault(FORGED, "the frame's MAC is wrong")
+        if not hmac.compare_digest(received_mac, self._next_mac(payload)):
+            raise ProtocolFault(FORGED, "frame has a wrong MAC")
         return payload
 
-    def _mac(self, payload):
-        # The number in the MAC is the guard against replayed, dropped and reordered
-        # frames, and the direction's own key against frames sent back to their
-        # sender: each shows as a MAC that doesn't fit, because the receiver computes
-        # it for the one frame that may come next.
-        counter = self._count.to_bytes(COUNTER_BYTES, "big")
-        self._count += 1
-        return hmac.digest(self._key, counter + payload, "sha256")[:MAC_BYTES]
+    def _next_mac(self, payload):
+        # The sequence number in the MAC detects replayed, dropped and reordered
+        # frames, and the separate key of each direction detects frames sent back to
+        # their sender: the receiver computes the MAC of the only frame that may come
+        # next, and the MAC of any other frame differs from it.
+        number = self._sequence_number.to_bytes(SEQUENCE_NUMBER_BYTES, "big")
+        self._sequence_number += 1
+        return hmac.digest(self._key, number + payload, "sha256")[:MAC_BYTES]
 
 
 class Session(NamedTuple):
-    """What a finished handshake gives: the peer, the key used and both directions."""
+    """Result of a handshake: the peer, the key used and a channel per direction."""
 
     peer: Identity
     key_id: str
-    sending: Channel
-    receiving: Channel
+    send_channel: Channel
+    receive_channel: Channel
 
 
 def make_hello(key_id, identity, nonce):
-    """Return the payload of the opening side's first message.
+    """Return the payload of the initiator's first message.
 
     Parameters
     ----------
     key_id : str
-        The key under which the connection is opened.
+        Id of the key under which the connection is opened.
     identity : Identity
-        The opening side.
+        The initiator.
     nonce : bytes
         32 fresh random bytes.
 
@@ -134,17 +141,17 @@
     )
 
 
-def read_hello(payload):
-    """Return the `Hello` in a payload; raises ProtocolFault on anything else."""
+def parse_hello(payload):
+    """Return the `Hello` in a payload; raises ProtocolFault if it is invalid."""
     message = unpack(payload, HANDSHAKE_ITEMS_LIMIT)
     check_version(message)
-    key_id = text_field(message, "key_id")
-    return Hello(key_id, identity_field(message), nonce_field(message))
+    key_id = require_text(message, "key_id")
+    return Hello(key_id, require_identity(message), require_nonce(message))
 
 
-def answer_hello(hello, key, identity, nonce):
-    """Return the answering side's payload, with its proof that it holds the key."""
-    proof = prove(key, b"answer", hello, identity, nonce)
+def make_hello_response(hello, key, identity, nonce):
+    """Return the responder's payload, with its proof that it holds the key."""
+    proof = transcript_hmac(key, b"answer", hello, identity, nonce)
     return pack(
         {
             "protocol": PROTOCOL,
@@ -157,78 +164,85 @@
     )
 
 
-def refuse_hello(kind):
-    """Return the payload that tells why a handshake is refused."""
-    return pack({"protocol": PROTOCOL, "version": PROTOCOL_VERSION, "refused": kind})
+def make_refusal(reason):
+    """Return the payload by which the responder refuses a handshake."""
+    return pack({"protocol": PROTOCOL, "version": PROTOCOL_VERSION, "refused": reason})
 
 
-def read_answer(payload, hello, key):
-    """Check the answering side's proof on the opening side.
+def verify_hello_response(payload, hello, key):
+    """Check the responder's proof, on the initiator.
 
     Parameters
     ----------
     payload : bytes
-        What the answering side sent.
+        The responder's payload.
     hello : Hello
-        What this side opened with.
+        The hello that this side sent.
     key : PeerKey
-        The key under which it opened.
+        The key that the hello named.
 
     Returns
     -------
     (Session, bytes)
-        The session, and the payload with this side's own proof to send.
+        The session, and the payload with the initiator's own proof to send.
 
     Raises
     ------
     ProtocolFault
-        If the other side refused, speaks another version or doesn't hold the key.
+        If the responder refused, uses another version or doesn't hold the key.
     """
     message = unpack(payload, HANDSHAKE_ITEMS_LIMIT)
     check_version(message)
     if "refused" in message:
-        raise ProtocolFault(HANDSHAKE, f"refused: {str(message['refused'])[:32]}")
-    identity = identity_field(message)
-    nonce = nonce_field(message)
-    check_proof(message, prove(key, b"answer", hello, identity, nonce))
-    proof = pack({"proof": prove(key, b"open", hello, identity, nonce)})
-    opening, answering = channels(key, hello, identity, nonce)
-    return Session(identity, key.key_id, opening, answering), proof
+        raise ProtocolFault(
+            HANDSHAKE, f"refused by the peer: {str(message['refused'])[:32]}"
+        )
+    identity = require_identity(message)
+    nonce = require_nonce(message)
+    check_proof(message, transcript_hmac(key, b"answer", hello, identity, nonce))
+    proof = pack({"proof": transcript_hmac(key, b"open", hello, identity, nonce)})
+    initiator_channel, responder_channel = derive_channels(key, hello, identity, nonce)
+    return Session(identity, key.key_id, initiator_channel, responder_channel), proof
 
 
-def read_proof(payload, hello, key, identity, nonce):
-    """Check the opening side's proof on the answering side.
+def verify_initiator_proof(payload, hello, key, identity, nonce):
+    """Check the initiator's proof, on the responder.
 
     Returns
     -------
     Session
-        The session with the opening side.
+        The session with the initiator.
 
     Raises
     ------
     ProtocolFault
-        If the opening side doesn't hold the key.
+        If the initiator doesn't hold the key.
     """
     message = unpack(payload, HANDSHAKE_ITEMS_LIMIT)
-    check_proof(message, prove(key, b"open", hello, identity, nonce))
-    opening, answering = channels(key, hello, identity, nonce)
-    return Session(hello.identity, key.key_id, answering, opening)
+    check_proof(message, transcript_hmac(key, b"open", hello, identity, nonce))
+    initiator_channel, responder_channel = derive_channels(key, hello, identity, nonce)
+    return Session(hello.identity, key.key_id, responder_channel, initiator_channel)
 
 
-def channels(key, hello, identity, nonce):
-    """Return the opening and the answering side's sending channels."""
-    opening = Channel(prove(key, b"opening channel", hello, identity, nonce))
-    answering = Channel(prove(key, b"answering channel", hello, identity, nonce))
-    return opening, answering
+def derive_channels(key, hello, identity, nonce):
+    """Return the channels by which the initiator and the responder send, in order."""
+    initiator_channel = Channel(
+        transcript_hmac(key, b"opening channel", hello, identity, nonce)
+    )
+    responder_channel = Channel(
+        transcript_hmac(key, b"answering channel", hello, identity, nonce)
+    )
+    return initiator_channel, responder_channel
 
 
-def prove(key, label, hello, identity, nonce):
-    """Return the HMAC over a label and all that both sides said.
+def transcript_hmac(key, label, hello, identity, nonce):
+    """Return the HMAC over a label and both sides' identities and nonces.
 
-    The label tells the roles apart, so that a proof can't be reflected to the side
-    that made it.
+    Serves as proof that a side holds the key, and as key derivation for the channels.
+    Each use has its own label, so that a proof can't be reflected to the side that
+    made it.
     """
-    said = pack(
+    transcript = pack(
         {
             "label": label,
             "version": PROTOCOL_VERSION,
@@ -237,41 +251,45 @@
             "answering": [identity.host, identity.incarnation, nonce],
         }
     )
-    return hmac.digest(key.secret, said, hashlib.sha256)
+    return hmac.digest(key.secret, transcript, hashlib.sha256)
 
 
 def check_version(message):
     """Raise a ProtocolFault unless the message is of this protocol and version."""
     if message.get("protocol") != PROTOCOL:
-        raise ProtocolFault(MALFORMED, "not a peer of this protocol")
+        raise ProtocolFault(MALFORMED, "handshake message names another protocol")
     version = message.get("version")
     if version != PROTOCOL_VERSION:
         raise ProtocolFault(
-            VERSION, f"the peer speaks {str(version)[:32]}, we {PROTOCOL_VERSION}"
+            VERSION,
+            f"peer uses protocol version {str(version)[:32]}, "
+            f"this process uses {PROTOCOL_VERSION}",
         )
 
 
-def check_proof(message, expected):
+def check_proof(message, expected_proof):
     """Raise a ProtocolFault unless the message carries the expected proof."""
-    seen = message.get("proof")
-    if not isinstance(seen, bytes) or not hmac.compare_digest(seen, expected):
+    received_proof = message.get("proof")
+    if not isinstance(received_proof, bytes) or not hmac.compare_digest(
+        received_proof, expected_proof
+    ):
         raise ProtocolFault(HANDSHAKE, "the peer doesn't hold the key")
 
 
-def text_field(message, name):
-    """Return a short text field; raises ProtocolFault on anything else."""
+def require_text(message, name):
+    """Return a short string field; raises ProtocolFault if it is missing or invalid."""
     value = message.get(name)
-    if not isinstance(value, str) or not 0 < len(value) <= NAME_LIMIT_CHARS:
-        raise ProtocolFault(MALFORMED, f"{name}: expected a short text")
+    if not isinstance(value, str) or not 0 < len(value) <= TEXT_LIMIT_CHARS:
+        raise ProtocolFault(MALFORMED, f"{name}: expected a short string")
     return value
 
 
-def identity_field(message):
+def require_identity(message):
     """Return the identity in a handshake message."""
-    return Identity(text_field(message, "host"), text_field(message, "incarnation"))
+    return Identity(require_text(message, "host"), require_text(message, "incarnation"))
 
 
-def nonce_field(message):
+def require_nonce(message):
     """Return the nonce in a handshake message."""
     nonce = message.get("nonce")
     if not isinstance(nonce, bytes) or len(nonce) != NONCE_BYTES:
--- a/libs/peers/gypsumusher_peers/keys.py
+++ b/libs/peers/gypsumusher_peers/keys.py
@@ -1,4 +1,4 @@
-"""The shared keys by which hosts authenticate each other, with rotation."""
+"""Shared secret keys by which hosts authenticate each other, with key rotation."""
 
 from typing import NamedTuple
 
@@ -6,35 +6,35 @@
 
 
 class PeerKey(NamedTuple):
-    """One shared secret and the id by which both sides name it."""
+    """One shared secret, and the id that both sides of a connection use for it."""
 
     key_id: str
     secret: bytes
 
 
 class KeyRing:
-    """The keys in force: the first signs, all verify.
+    """The active keys: the first opens new connections, all are accepted.
 
-    A rotation never needs a stop: add the new key behind the old one on every host,
-    then put it first on every host, then take the old one away.
+    A rotation needs no restart: append the new key after the old one on every host,
+    then move it to the front on every host, then remove the old one from every host.
 
     Parameters
     ----------
     keys : list of (str, str or bytes)
-        Key ids and secrets of at least 16 bytes.
+        Key ids, and secrets of at least 16 bytes.
 
     Raises
     ------
     ValueError
-        If there is no key, an id comes twice or a secret is too short.
+        If there is no key, a key id is repeated or a secret is too short.
     """
 
     def __init__(self, keys):
-        self._keys = checked_keys(keys)
+        self._keys = validate_keys(keys)
 
     def replace(self, keys):
-        """Put other keys in force; raises ValueError as the constructor does."""
-        self._keys = checked_keys(keys)
+        """Replace all active keys; raises ValueError as the constructor does."""
+        self._keys = validate_keys(keys)
 
     @property
     def signing_key(self):
@@ -42,23 +42,23 @@
         return next(iter(self._keys.values()))
 
     def find(self, key_id):
-        """Return the `PeerKey` with an id, or None."""
+        """Return the active `PeerKey` with this id, or None."""
         return self._keys.get(key_id)
 
 
-def checked_keys(keys):
-    """Return the keys by id, in order; raises ValueError as `KeyRing` says."""
-    checked = {}
+def validate_keys(keys):
+    """Return the keys by id, in order; raises ValueError as `KeyRing` does."""
+    valid_keys = {}
     for key_id, secret in keys:
         secret_bytes = secret.encode() if isinstance(secret, str) else bytes(secret)
-        if key_id in checked:
-            raise ValueError(f"keys: the id {key_id!r} comes twice")
+        if key_id in valid_keys:
+            raise ValueError(f"keys: the id {key_id!r} is used twice")
         if len(secret_bytes) < SECRET_MIN_BYTES:
             raise ValueError(
                 f"keys: the secret of {key_id!r} has {len(secret_bytes)} bytes; "
                 f"at least {SECRET_MIN_BYTES} are needed"
             )
-        checked[key_id] = PeerKey(key_id, secret_bytes)
-    if not checked:
+        valid_keys[key_id] = PeerKey(key_id, secret_bytes)
+    if not valid_keys:
         raise ValueError("keys: at least one key is needed")
-    return checked
+    return valid_keys
--- a/libs/peers/gypsumusher_peers/wire.py
+++ b/libs/peers/gypsumusher_peers/wire.py
@@ -1,4 +1,4 @@
-"""Read and write frames on an asyncio stream, and run both sides' handshakes."""
+"""Reads and writes frames on asyncio streams, and runs both sides of the handshake."""
 
 import asyncio
 import secrets
@@ -22,28 +22,28 @@
     MAC_BYTES,
     NONCE_BYTES,
     Hello,
-    answer_hello,
     make_hello,
-    read_answer,
-    read_hello,
-    read_proof,
-    refuse_hello,
+    make_hello_response,
+    make_refusal,
+    parse_hello,
+    verify_hello_response,
+    verify_initiator_proof,
 )
 
 
 async def read_payload(reader, limit_bytes, idle_timeout_s, frame_timeout_s):
-    """Read one frame.
+    """Read one frame and return its payload.
 
     Parameters
     ----------
     reader : asyncio.StreamReader
         The connection.
     limit_bytes : int
-        Largest payload that is taken.
-    idle_timeout_s : float
-        Longest wait for the frame's first byte.
+        Largest payload that is accepted.
+    idle_timeout_s : float or None
+        Longest wait for the frame's first byte; None waits without limit.
     frame_timeout_s : float
-        Longest wait from the first byte to the last, against slow senders.
+        Longest time from the frame's first byte to its last, against slow senders.
 
     Returns
     -------
@@ -57,21 +57,22 @@
     """
     try:
         async with asyncio.timeout(idle_timeout_s):
-            first = await reader.readexactly(1)
+            first_byte = await reader.readexactly(1)
         async with asyncio.timeout(frame_timeout_s):
             rest = await reader.readexactly(LENGTH_BYTES - 1)
-            length = read_length(first + rest, limit_bytes)
+            length = read_length(first_byte + rest, limit_bytes)
             return await reader.readexactly(length)
     except TimeoutError as error:
-        raise ProtocolFault(TIMEOUT, "no whole frame in time") from error
+        raise ProtocolFault(TIMEOUT, "no complete frame before the time-out") from error
     except asyncio.IncompleteReadError as error:
         raise ProtocolFault(CLOSED, "the peer closed the connection") from error
     except OSError as error:
+        # PeerServer tells this case from an orderly close by the text's beginning.
         raise ProtocolFault(CLOSED, f"connection lost: {error}") from error
 
 
 async def open_session(reader, writer, identity, keys, timeout_s):
-    """Run the opening side of a handshake.
+    """Run the initiator's side of the handshake.
 
     Returns
     -------
@@ -81,19 +82,20 @@
     Raises
     ------
     ProtocolFault
-        If it fails or takes longer than `timeout_s`.
+        If the handshake fails, or the responder's message does not begin within
+        `timeout_s` or takes longer than that to arrive.
     """
     key = keys.signing_key
     hello = Hello(key.key_id, identity, secrets.token_bytes(NONCE_BYTES))
     writer.write(frame(make_hello(key.key_id, identity, hello.nonce)))
     payload = await read_payload(reader, HANDSHAKE_LIMIT_BYTES, timeout_s, timeout_s)
-    session, proof = read_answer(payload, hello, key)
+    session, proof = verify_hello_response(payload, hello, key)
     writer.write(frame(proof))
     return session
 
 
 async def accept_session(reader, writer, identity, keys, timeout_s):
-    """Run the answering side of a handshake.
+    """Run the responder's side of the handshake.
 
     Returns
     -------
@@ -103,32 +105,34 @@
     Raises
     ------
     ProtocolFault
-        If it fails or takes longer than `timeout_s` in all.
+        If the handshake fails, or takes longer than `timeout_s` in total.
     """
     try:
         async with asyncio.timeout(timeout_s):
-            return await _accept(reader, writer, identity, keys, timeout_s)
+            return await _respond(reader, writer, identity, keys, timeout_s)
     except TimeoutError as error:
-        raise ProtocolFault(TIMEOUT, "no handshake in time") from error
+        raise ProtocolFault(
+            TIMEOUT, "handshake not complete before the time-out"
+        ) from error
 
 
-async def _accept(reader, writer, identity, keys, timeout_s):
-    limit = HANDSHAKE_LIMIT_BYTES
-    payload = await read_payload(reader, limit, timeout_s, timeout_s)
+async def _respond(reader, writer, identity, keys, timeout_s):
+    limit_bytes = HANDSHAKE_LIMIT_BYTES
+    payload = await read_payload(reader, limit_bytes, timeout_s, timeout_s)
     try:
-        hello = read_hello(payload)
+        hello = parse_hello(payload)
     except ProtocolFault as fault:
         if fault.kind == VERSION:
-            writer.write(frame(refuse_hello(VERSION)))
+            writer.write(frame(make_refusal(VERSION)))
         raise
     key = keys.find(hello.key_id)
     if key is None:
-        writer.write(frame(refuse_hello("unknown key")))
-        raise ProtocolFault(HANDSHAKE, "the peer opened under an unknown key")
+        writer.write(frame(make_refusal("unknown key")))
+        raise ProtocolFault(HANDSHAKE, "the peer's hello names an unknown key")
     nonce = secrets.token_bytes(NONCE_BYTES)
-    writer.write(frame(answer_hello(hello, key, identity, nonce)))
-    payload = await read_payload(reader, limit, timeout_s, timeout_s)
-    return read_proof(payload, hello, key, identity, nonce)
+    writer.write(frame(make_hello_response(hello, key, identity, nonce)))
+    payload = await read_payload(reader, limit_bytes, timeout_s, timeout_s)
+    return verify_initiator_proof(payload, hello, key, identity, nonce)
 
 
 async def read_message(reader, session, limit_bytes, idle_timeout_s, frame_timeout_s):
@@ -136,19 +140,19 @@
     sealed = await read_payload(
         reader, limit_bytes + MAC_BYTES, idle_timeout_s, frame_timeout_s
     )
-    return unpack(session.receiving.open(sealed))
+    return unpack(session.receive_channel.open(sealed))
 
 
 def write_message(writer, session, message, limit_bytes):
-    """Seal and write one message of a session.
+    """Pack, seal and write one message of a session.
 
     Raises
     ------
     ProtocolFault
-        If the message can't be carried; nothing was written then.
+        If the message can't be packed or exceeds the limit; nothing was written then.
     """
     payload = pack(message)
-    # The length is checked before the seal counts the frame, so that a refused
-    # message leaves no hole in the numbers.
+    # Checks the length before sealing advances the sequence number: a message that is
+    # refused must not leave a gap, which the receiver would take for a dropped frame.
     frame(payload, limit_bytes)
-    writer.write(frame(session.sending.seal(payload), limit_bytes + MAC_BYTES))
+    writer.write(frame(session.send_channel.seal(payload), limit_bytes + MAC_BYTES))
--- a/libs/peers/tests/test_framing.py
+++ b/libs/peers/tests/test_framing.py
@@ -1,4 +1,4 @@
-"""Frames and their msgpack payloads keep to their limits, whatever the bytes."""
+"""Frames and msgpack payloads stay within their limits for arbitrary bytes."""
 
 import tracemalloc
 
@@ -32,7 +32,7 @@
 
 @FUZZ
 @given(st.dictionaries(TEXTS, VALUES, max_size=4))
-def test_a_message_comes_back_as_it_went(message):
+def test_unpack_reverses_pack(message):
     assert unpack(pack(message)) == message
 
 
@@ -41,7 +41,7 @@
 @example(b"\x81\x91\x01\x01")
 @example(b"\x81\xc1\x01")
 @example(b"\xc7\x10\x01")
-def test_arbitrary_bytes_give_a_map_or_a_typed_fault(payload):
+def test_arbitrary_bytes_give_a_map_or_a_protocol_fault(payload):
     try:
         message = unpack(payload)
     except ProtocolFault as fault:
@@ -52,7 +52,7 @@
 
 @FUZZ
 @given(st.dictionaries(TEXTS, VALUES, max_size=4), st.data())
-def test_a_truncated_message_is_a_typed_fault(message, data):
+def test_a_truncated_message_is_a_protocol_fault(message, data):
     payload = pack(message)
     cut = data.draw(st.integers(0, len(payload) - 1))
     with pytest.raises(ProtocolFault):
@@ -63,12 +63,12 @@
     "header",
     [b"\xdd\x00\xff\xff\xff", b"\xdf\x00\xff\xff\xff", b"\xc6\x00\xff\xff\xff"],
 )
-def test_announced_sizes_allocate_nothing(header):
-    """A few bytes would take all memory.
+def test_announced_sizes_are_not_allocated(header):
+    """A message of a few kilobytes exhausts the daemon's memory.
 
-    A sender announces an array of sixteen million items, or nests hundreds of
-    such arrays, and the daemon is killed for its memory before it has read one item.
-    Cause: the unpacker allocates what a header announces.
+    A sender announces an array of sixteen million items, or nests hundreds of such
+    arrays. The unpacker allocates what a header announces, and the daemon is killed
+    for its memory use before it has read one item.
     """
     payload = b"\x81\xa1a" + header * 800
     tracemalloc.start()
@@ -93,13 +93,13 @@
     assert peak_bytes < 160_000_000
 
 
-def test_what_msgpack_cannot_carry_is_a_typed_fault():
+def test_a_value_that_msgpack_cannot_encode_is_a_protocol_fault():
     for value in (object(), 2**64, {1, 2}):
         with pytest.raises(ProtocolFault):
             pack({"value": value})
 
 
-def test_a_length_over_the_limit_is_refused_from_its_header():
+def test_a_length_over_the_limit_is_refused_by_its_header():
     header = (FRAME_LIMIT_BYTES + 1).to_bytes(LENGTH_BYTES, "big")
     with pytest.raises(ProtocolFault) as caught:
         read_length(header)
@@ -113,7 +113,7 @@
         read_length(bytes(LENGTH_BYTES))
 
 
-def test_other_top_level_values_are_refused():
+def test_payloads_other_than_a_map_with_string_keys_are_refused():
     for value in (1, "text", [1], {1: 2}):
         with pytest.raises(ProtocolFault):
             unpack(msgpack.packb(value))
