--- a/libs/objects/gypsumusher_objects/client.py
+++ b/libs/objects/gypsumusher_objects/client.py
@@ -1,4 +1,4 @@
-"""Client of the platform's object API, one call at a time and never a hidden repeat."""
+"""Client of the platform's object API; it never retries a call by itself."""
 
 import json
 import time
@@ -20,7 +20,7 @@
     UNAVAILABLE,
     PlatformError,
 )
-from gypsumusher_objects.response_body import PIECE_BYTES, BodyTooLarge, read_body
+from gypsumusher_objects.response_body import CHUNK_BYTES, BodyTooLarge, read_body
 from gypsumusher_objects.retries import disable_retries
 from gypsumusher_objects.types import (
     ListedHost,
@@ -30,56 +30,63 @@
     WatchResult,
 )
 
-# A platform on the same network answers a connect within milliseconds; an address
-# that has not after a second is dead, and the next address should have its turn.
+# A platform on the same network accepts a connection within milliseconds. An address
+# that has not within a second is down, and the next call uses the next address.
 CONNECT_TIMEOUT_S = 1.0
-# Enough for a host's handful of watches and its group commits side by side.
+# Enough for the few watches of a host and its group commits at the same time.
 CONNECTION_LIMIT = 32
 KEEPALIVE_S = 15.0
-# Values end at a megabyte, and the largest listing is one kind of a fleet; a body
-# beyond this is refused before it can fill the memory of a small host.
-ANSWER_LIMIT_BYTES = 32 * 1024 * 1024
-# Answers by which the platform says that the call will never be taken as it stands.
+# Largest response body. A value has at most one megabyte, and the largest listing
+# holds one kind of object for a whole fleet; a larger body is refused before it
+# exhausts the memory of a small host.
+RESPONSE_LIMIT_BYTES = 32 * 1024 * 1024
+# Statuses by which the platform says that it will never accept the call as it is.
 INVALID_STATUSES = frozenset({400, 401, 403, 405, 413, 415, 422})
 
 
-class Answer(NamedTuple):
-    """A complete answer of the platform: status and decoded JSON body."""
+class PlatformResponse(NamedTuple):
+    """Status and decoded body of a response.
+
+    The body is the decoded JSON for the statuses 200, 201 and 409, the seconds to wait
+    for 429, and the first 200 bytes as text for any other status.
+    """
 
     status: int
     body: Any
 
 
 class BadAnswer(Exception):
-    """The platform's answer is too large, not JSON, or lacks a field."""
+    """The platform's response is not JSON, lacks a field or has one of a wrong type."""
 
 
 def boottime_s() -> float:
-    """Return seconds since boot, counted through suspends of the host."""
+    """Return the seconds since boot, including time that the host was suspended."""
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
 class PlatformClient:
-    """Calls the object API within a budget.
+    """Calls the object API within a call budget.
 
-    Every method makes at most one call and returns a ``Result``; when to try again
-    is the caller's decision, because only it knows whether a write that may have
-    taken effect can be repeated.
+    Every method sends at most one call and returns a ``Result``. Retrying is left to
+    the caller, because only it knows whether a write that may have taken effect can
+    be repeated.
 
     Parameters
     ----------
     urls : sequence of str
-        Base URLs of the platform; after a failure the next one is used.
+        Base URLs of the platform; after a call that got no usable response, the next
+        URL is used.
     token : str
         Bearer token.
     client_name : str
         Name under which the platform counts this client's calls.
     timeout_s : float
-        Seconds that one call may take, connect included.
+        Longest time of one call, including the connect; a watch may take as much
+        longer as it waits for changes.
     budget : CallBudget
-        Limit of this host's calls.
+        Rate limit and back-off of this host's calls.
     clock : callable
-        Clock that the budget is kept by, in seconds.
+        Clock of the budget, in seconds.
     """
 
     def __init__(
@@ -92,7 +99,7 @@
         clock: Callable[[], float] = boottime_s,
     ):
         if not urls:
-            raise ValueError("urls names no address of the platform")
+            raise ValueError("urls: at least one platform URL is needed")
         self.urls = [url.rstrip("/") for url in urls]
         self.timeout_s = timeout_s
         self.budget = budget
@@ -103,11 +110,11 @@
             "X-Client-Name": client_name,
             "Accept-Encoding": "identity",
         }
-        self._turn = 0
+        self._url_index = 0
         self._session: aiohttp.ClientSession | None = None
 
     async def start(self) -> None:
-        """Open the session; connections are made by the calls."""
+        """Open the HTTP session; the calls open its connections."""
         connector = aiohttp.TCPConnector(
             limit=CONNECTION_LIMIT,
             limit_per_host=CONNECTION_LIMIT,
@@ -119,7 +126,7 @@
             cookie_jar=aiohttp.DummyCookieJar(),
             trust_env=False,
             auto_decompress=False,
-            read_bufsize=PIECE_BYTES,
+            read_bufsize=CHUNK_BYTES,
         )
         disable_retries(self._session)
 
@@ -132,15 +139,17 @@
         await session.close()
 
     def is_up(self) -> bool:
-        """Return whether the last call that was answered or broke was answered."""
+        """Return whether the last failed call, if any, was followed by a success."""
         return not self.budget.is_failing()
 
     async def read(
         self, kind: str, name: str, urgent: bool = False
     ) -> Result[VersionedValue | None, PlatformError]:
-        """Read one object; None when it does not exist."""
-        call = _Call("GET", f"/v1/objects/{_part(kind)}/{_part(name)}", READ, urgent)
-        return await self._run(call, _parse_read)
+        """Read one object; None if it does not exist."""
+        call = _PlatformCall(
+            "GET", f"/v1/objects/{_quote(kind)}/{_quote(name)}", READ, urgent
+        )
+        return await self._execute(call, _parse_read)
 
     async def write(
         self, kind: str, name: str, value: Any, if_version: int, urgent: bool = False
@@ -150,13 +159,13 @@
         Returns
         -------
         Result[int, PlatformError]
-            The new version. With ``sent`` true the write may have taken effect:
-            read the object before acting on either belief.
+            The new version. On an error with ``sent`` true the write may have taken
+            effect: read the object to find out.
         """
         body = {"value": value, "if_version": if_version}
-        path = f"/v1/objects/{_part(kind)}/{_part(name)}"
-        call = _Call("PUT", path, WRITE, urgent, body)
-        return await self._run(call, _parse_write)
+        path = f"/v1/objects/{_quote(kind)}/{_quote(name)}"
+        call = _PlatformCall("PUT", path, WRITE, urgent, body)
+        return await self._execute(call, _parse_write)
 
     async def delete(
         self, kind: str, name: str, if_version: int, urgent: bool = False
@@ -166,8 +175,10 @@
         An object that does not exist is a conflict whose ``stored`` is None.
         """
         query = urlencode({"if_version": if_version})
-        path = f"/v1/objects/{_part(kind)}/{_part(name)}?{query}"
-        return await self._run(_Call("DELETE", path, WRITE, urgent), _parse_write)
+        path = f"/v1/objects/{_quote(kind)}/{_quote(name)}?{query}"
+        return await self._execute(
+            _PlatformCall("DELETE", path, WRITE, urgent), _parse_write
+        )
 
     async def watch(
         self,
@@ -177,51 +188,54 @@
         name: str | None = None,
         urgent: bool = False,
     ) -> Result[WatchResult, PlatformError]:
-        """Wait until a kind changes after revision `after`, at most `timeout_s`."""
+        """Wait for changes of a kind after revision `after`, at most `timeout_s`."""
         query = {"after": after, "timeout_s": timeout_s}
         if name is not None:
             query["name"] = name
-        path = f"/v1/watch/{_part(kind)}?{urlencode(query)}"
-        call = _Call("WATCH", path, READ, urgent, wait_s=timeout_s)
-        return await self._run(call, _parse_change)
+        path = f"/v1/watch/{_quote(kind)}?{urlencode(query)}"
+        call = _PlatformCall("WATCH", path, READ, urgent, wait_s=timeout_s)
+        return await self._execute(call, _parse_change)
 
     async def list_hosts(
         self, urgent: bool = False
     ) -> Result[list[ListedHost], PlatformError]:
-        """Read the platform's lagging list of endpoints."""
-        call = _Call("GET", "/v1/hosts", READ, urgent)
-        return await self._run(call, _parse_hosts)
+        """Read the platform's list of endpoints, which may be out of date."""
+        call = _PlatformCall("GET", "/v1/hosts", READ, urgent)
+        return await self._execute(call, _parse_hosts)
 
-    # Last, because in the class body its name hides the built-in list from here on.
+    # Defined last: from here on its name hides the built-in list in the class body.
     async def list(
         self, kind: str, urgent: bool = False
     ) -> Result[Listing, PlatformError]:
         """Read all objects of a kind."""
-        call = _Call("GET", f"/v1/objects/{_part(kind)}", READ, urgent)
-        return await self._run(call, _parse_listing)
+        call = _PlatformCall("GET", f"/v1/objects/{_quote(kind)}", READ, urgent)
+        return await self._execute(call, _parse_listing)
 
-    async def _run(self, call, parse) -> Result[Any, PlatformError]:
-        peer = self.urls[self._turn % len(self.urls)]
-        error = PlatformError(UNAVAILABLE, f"{call.name} {call.path}", peer, sent=True)
+    async def _execute(self, call, parse) -> Result[Any, PlatformError]:
+        peer = self.urls[self._url_index % len(self.urls)]
+        error = PlatformError(
+            UNAVAILABLE, f"{call.operation} {call.path}", peer, sent=True
+        )
         started_s = self.clock()
         wait_s = self.budget.take(started_s, call.budget_kind, call.urgent)
         if wait_s > 0.0:
-            detail = "the host's own call budget or back-off"
+            detail = "refused by this host's own call budget or back-off"
             return Failure(
                 error._replace(
                     kind=BUDGET, sent=False, retry_after_s=wait_s, detail=detail
                 )
             )
-        self.calls[call.name] += 1
+        self.calls[call.operation] += 1
         try:
-            answer = await self._exchange(peer, call)
-            result = _judge(answer, error, parse)
+            response = await self._send(peer, call)
+            result = _to_result(response, error, parse)
         except (
             aiohttp.ClientConnectorError,
             aiohttp.ConnectionTimeoutError,
         ) as exc:
-            # Only these two are raised before a connection exists, so that no byte
-            # of the request can have left; every other failure is an unknown.
+            # Only these two are raised before a connection exists, so that no byte of
+            # the request was sent. After any other failure a write may have taken
+            # effect.
             result = Failure(error._replace(sent=False, detail=repr(exc)))
         except (
             aiohttp.ClientError,
@@ -231,12 +245,12 @@
             BodyTooLarge,
         ) as exc:
             result = Failure(error._replace(detail=repr(exc)))
-        self._note(result, started_s)
+        self._update_budget(result, started_s)
         return result
 
-    async def _exchange(self, peer: str, call) -> Answer:
+    async def _send(self, peer: str, call) -> PlatformResponse:
         if self._session is None:
-            raise RuntimeError("PlatformClient is not started")
+            raise RuntimeError("PlatformClient.start was not called")
         timeout = aiohttp.ClientTimeout(
             total=call.wait_s + self.timeout_s,
             connect=min(self.timeout_s, CONNECT_TIMEOUT_S),
@@ -248,7 +262,7 @@
         if call.body is not None:
             body = json.dumps(call.body, separators=(",", ":")).encode()
             headers["Content-Type"] = "application/json"
-        method = "GET" if call.name == "WATCH" else call.name
+        method = "GET" if call.operation == "WATCH" else call.operation
         async with self._session.request(
             method,
             URL(peer + call.path, encoded=True),
@@ -257,10 +271,12 @@
             timeout=timeout,
             allow_redirects=False,
         ) as response:
-            payload = await read_body(response, ANSWER_LIMIT_BYTES)
+            payload = await read_body(response, RESPONSE_LIMIT_BYTES)
             return _decode(response, payload)
 
-    def _note(self, result: Result[Any, PlatformError], started_s: float) -> None:
+    def _update_budget(
+        self, result: Result[Any, PlatformError], started_s: float
+    ) -> None:
         if not isinstance(result, Failure):
             self.budget.on_success(started_s)
             return
@@ -270,13 +286,13 @@
             return
         if error.kind == UNAVAILABLE:
             self.budget.on_failure(self.clock(), started_s)
-            self._turn += 1
+            self._url_index += 1
             return
         self.budget.on_success(started_s)
 
 
-class _Call(NamedTuple):
-    name: str
+class _PlatformCall(NamedTuple):
+    operation: str
     path: str
     budget_kind: str
     urgent: bool
@@ -284,15 +300,19 @@
     wait_s: float = 0.0
 
 
-def _decode(response: aiohttp.ClientResponse, payload: bytes) -> Answer:
+def _decode(response: aiohttp.ClientResponse, payload: bytes) -> PlatformResponse:
     if response.status == 429:
-        return Answer(429, _retry_after_s(response.headers.get("Retry-After")))
+        return PlatformResponse(
+            429, _retry_after_s(response.headers.get("Retry-After"))
+        )
     if response.status not in {200, 201, 409}:
-        return Answer(response.status, payload[:200].decode("utf-8", "replace"))
+        return PlatformResponse(
+            response.status, payload[:200].decode("utf-8", "replace")
+        )
     try:
-        return Answer(response.status, json.loads(payload))
+        return PlatformResponse(response.status, json.loads(payload))
     except (ValueError, RecursionError) as exc:
-        raise BadAnswer(f"the answer is not JSON: {exc}") from exc
+        raise BadAnswer(f"response is not JSON: {exc}") from exc
 
 
 def _retry_after_s(header: str | None) -> float:
@@ -302,36 +322,39 @@
         return 1.0
 
 
-def _judge(answer: Answer, error: PlatformError, parse) -> Result[Any, PlatformError]:
-    """Turn an answer into a value or into an error that says whether it took effect."""
-    if answer.status in {200, 201}:
-        return Success(_parsed(parse, answer.body))
-    if answer.status == 404 and parse is _parse_read:
+def _to_result(
+    response: PlatformResponse, error: PlatformError, parse
+) -> Result[Any, PlatformError]:
+    """Return the parsed value, or an error whose ``sent`` follows from the status."""
+    if response.status in {200, 201}:
+        return Success(_parse_body(parse, response.body))
+    if response.status == 404 and parse is _parse_read:
         return Success(None)
-    if answer.status == 404 and parse is _parse_write:
+    if response.status == 404 and parse is _parse_write:
         return Failure(error._replace(kind=CONFLICT, sent=False, detail="absent"))
-    if answer.status == 409:
-        stored = _parsed(_parse_stored, answer.body)
+    if response.status == 409:
+        stored = _parse_body(_parse_stored, response.body)
         return Failure(error._replace(kind=CONFLICT, sent=False, stored=stored))
-    if answer.status == 429:
+    if response.status == 429:
         return Failure(
-            error._replace(kind=THROTTLED, sent=False, retry_after_s=answer.body)
+            error._replace(kind=THROTTLED, sent=False, retry_after_s=response.body)
         )
-    detail = f"status {answer.status}: {answer.body}"
-    if answer.status in INVALID_STATUSES:
+    detail = f"status {response.status}: {response.body}"
+    if response.status in INVALID_STATUSES:
         return Failure(error._replace(kind=INVALID, sent=False, detail=detail))
-    # A 503 may come from a front that lost the store after it had the write.
+    # ``sent`` stays true: a 503 may come from a front end that lost its connection to
+    # the store after it had passed on the write.
     return Failure(error._replace(detail=detail))
 
 
-def _parsed(parse, body: Any) -> Any:
+def _parse_body(parse, body: Any) -> Any:
     try:
         return parse(body)
     except (KeyError, TypeError, ValueError, AttributeError) as exc:
-        raise BadAnswer(f"the answer lacks a field: {exc!r}") from exc
+        raise BadAnswer(f"response lacks a field or has a wrong type: {exc!r}") from exc
 
 
-def _part(text: str) -> str:
+def _quote(text: str) -> str:
     return quote(text, safe="")
 
 
@@ -351,7 +374,7 @@
 def _version(body: Any) -> int:
     version = body["version"]
     if type(version) is not int:
-        raise TypeError(f"version is {version!r}")
+        raise TypeError(f"version: expected an integer, got {version!r}")
     return version
 
 
--- a/libs/objects/gypsumusher_objects/errors.py
+++ b/libs/objects/gypsumusher_objects/errors.py
@@ -1,4 +1,4 @@
-"""The one error that calls to the platform return."""
+"""The error value that calls to the platform return."""
 
 from typing import NamedTuple
 
@@ -12,27 +12,28 @@
 
 
 class PlatformError(NamedTuple):
-    """A call that did not succeed, with the step and the peer where it failed.
+    """A call that did not succeed, with the call and the address that was used.
 
     Parameters
     ----------
     kind : str
-        ``conflict`` (another version stands), ``unavailable`` (no usable answer),
-        ``throttled`` (the platform's limit), ``budget`` (our own limit or back-off)
-        or ``invalid`` (the platform will never take this call).
+        ``conflict`` (the object has another version), ``unavailable`` (no usable
+        response), ``throttled`` (the platform's rate limit), ``budget`` (this host's
+        own call budget or back-off) or ``invalid`` (the platform will never accept
+        this call).
     step : str
-        The call, as ``METHOD kind/name``.
+        The call, as ``METHOD path``.
     peer : str
         Base URL of the platform's address that was called.
     sent : bool
-        Whether a write may have taken effect. False is a promise: either no byte
-        reached the platform or the platform itself said that nothing happened.
+        Whether a write may have taken effect. False guarantees that either no byte
+        reached the platform or the platform itself reported that nothing changed.
     stored : VersionedValue or None
-        On a conflict, what stands instead; None when the object does not exist.
+        On a conflict, the state of the stored object; None if it does not exist.
     retry_after_s : float or None
-        Seconds to wait before the next try, when known.
+        Seconds to wait before the next attempt, if known.
     detail : str
-        What was seen, for the log.
+        Description of the failure, for the log.
     """
 
     kind: str
--- a/libs/objects/gypsumusher_objects/response_body.py
+++ b/libs/objects/gypsumusher_objects/response_body.py
@@ -1,37 +1,37 @@
-"""Reads answers to their end, within a bound."""
+"""Reads HTTP response bodies to their end, up to a size limit."""
 
 __all__ = ["BodyTooLarge", "read_body"]
 
-# Bytes that are taken at once.
-PIECE_BYTES = 64 * 1024
+# Bytes per read.
+CHUNK_BYTES = 64 * 1024
 
 
 class BodyTooLarge(ValueError):
-    """An answer is larger than any that is expected."""
+    """A response body exceeds the size limit of the call."""
 
 
 async def read_body(response, max_bytes):
-    """Return the whole body of an answer.
+    """Return the complete body of a response.
 
-    Failure guarded against: one read returns what has come so far, which is the whole
-    of a short answer only as long as it comes in one packet.
+    A single read returns only the bytes that have arrived so far, which is the whole
+    of a short body only if it arrives in one packet; this function reads to the end.
 
     Parameters
     ----------
     response : aiohttp.ClientResponse
-        The answer.
+        The response.
     max_bytes : int
         Largest body, in bytes.
 
     Raises
     ------
     BodyTooLarge
-        When it is larger; the rest is left unread.
+        If the body is larger; the rest of it is left unread.
     """
-    pieces, size_bytes = [], 0
-    async for piece in response.content.iter_chunked(PIECE_BYTES):
-        size_bytes += len(piece)
+    chunks, size_bytes = [], 0
+    async for chunk in response.content.iter_chunked(CHUNK_BYTES):
+        size_bytes += len(chunk)
         if size_bytes > max_bytes:
-            raise BodyTooLarge(f"the answer is over {max_bytes} bytes")
-        pieces.append(piece)
-    return b"".join(pieces)
+            raise BodyTooLarge(f"response body exceeds {max_bytes} bytes")
+        chunks.append(chunk)
+    return b"".join(chunks)
--- a/libs/objects/gypsumusher_objects/types.py
+++ b/libs/objects/gypsumusher_objects/types.py
@@ -1,17 +1,17 @@
-"""Data that the platform's object API holds and answers."""
+"""Data types that the platform's object API returns."""
 
 from typing import Any, NamedTuple
 
 
 class VersionedValue(NamedTuple):
-    """State of one object: its version (the store's revision, > 0) and value."""
+    """Value of one object with its version (the store's revision, > 0)."""
 
     version: int
     value: Any
 
 
 class PlatformObject(NamedTuple):
-    """One object of a listing or a watch."""
+    """One object in the result of a list or watch call."""
 
     kind: str
     name: str
@@ -20,14 +20,14 @@
 
 
 class Listing(NamedTuple):
-    """All objects of a kind, and the revision to watch them from."""
+    """All objects of a kind, and the revision from which to watch for changes."""
 
     revision: int
     items: list[PlatformObject]
 
 
 class WatchResult(NamedTuple):
-    """What changed in a kind since a revision; empty when a watch timed out."""
+    """Changes of a kind after a revision; no changes if the watch timed out."""
 
     revision: int
     items: list[PlatformObject]
@@ -35,7 +35,7 @@
 
 
 class ListedHost(NamedTuple):
-    """One endpoint of the platform's list of hosts, which lags behind reality."""
+    """One endpoint in the platform's list of hosts, which may be out of date."""
 
     name: str
     kind: str
--- a/libs/objects/tests/test_client.py
+++ b/libs/objects/tests/test_client.py
@@ -1,4 +1,4 @@
-"""The platform client says truthfully what may have taken effect, and never repeats."""
+"""The platform client reports what may have taken effect, and never retries."""
 
 import asyncio
 import json
@@ -20,13 +20,13 @@
     WatchResult,
 )
 
-FAST = BudgetLimits(
+HIGH_LIMITS = BudgetLimits(
     writes_per_s=1e4, reads_per_s=1e4, initial_backoff_s=0.0, max_backoff_s=0.0
 )
 
 
 @asynccontextmanager
-async def client_of(*ports, timeout_s=5.0, limits=FAST):
+async def running_client(*ports, timeout_s=5.0, limits=HIGH_LIMITS):
     urls = [f"http://127.0.0.1:{port}" for port in ports]
     budget = CallBudget(random.Random(1).random, limits)
     client = PlatformClient(urls, "secret", "host-1", timeout_s, budget)
@@ -50,7 +50,7 @@
 
 
 class RawServer:
-    """Answers each request by the next of its replies; None closes after reading."""
+    """Sends the next of its replies to each request; None closes the connection."""
 
     def __init__(self, replies):
         self.replies = list(replies)
@@ -87,7 +87,7 @@
             writer.close()
 
 
-def http(status, body, length=None):
+def http_reply(status, body, length=None):
     payload = json.dumps(body).encode() if not isinstance(body, bytes) else body
     size = len(payload) if length is None else length
     head = f"HTTP/1.1 {status} X\r\nContent-Length: {size}\r\nRetry-After: 3\r\n\r\n"
@@ -98,14 +98,14 @@
     async def run():
         server = RawServer(replies)
         port = await server.start()
-        async with client_of(port, **options) as client:
+        async with running_client(port, **options) as client:
             await scenario(client, server)
         await server.close()
 
     asyncio.run(run())
 
 
-def test_calls_and_answers():
+def test_calls_and_their_results():
     seen = []
 
     async def handler(request):
@@ -125,7 +125,7 @@
         return web.json_response(item)
 
     async def run():
-        async with web_server(handler) as port, client_of(port) as client:
+        async with web_server(handler) as port, running_client(port) as client:
             item = PlatformObject("k", "a/b", 4, {"x": 1})
             assert await client.read("k", "a/b") == Success(VersionedValue(4, {"x": 1}))
             assert await client.write("k", "a/b", [1], 3) == Success(4)
@@ -148,12 +148,12 @@
     ]
 
 
-def test_broken_connection_never_repeats_a_write():
-    """A lease renewal is applied, its answer is lost, and the lease looks stolen.
+def test_broken_connection_does_not_retry_a_write():
+    """A host gives up a lease that it holds after a renewal lost its response.
 
-    The kept-alive connection closes after the platform has read the PUT. The HTTP
-    library sends the PUT again by itself, the second meets the first's version and
-    reports a conflict, and the holder gives up a lease that it holds.
+    The keep-alive connection closes after the platform has read the PUT. The HTTP
+    library retries the PUT by itself, and the retry fails with a conflict because the
+    first PUT has changed the version.
     """
 
     async def scenario(client, server):
@@ -163,24 +163,24 @@
         assert server.requests == ["PUT", "PUT"]
         assert server.connections == 1
 
-    run_against([http(200, {"version": 1}), None], scenario)
+    run_against([http_reply(200, {"version": 1}), None], scenario)
 
 
 @pytest.mark.parametrize(
     "reply, kind, sent",
     [
-        (http(409, {"version": 7, "value": {"a": 1}}), "conflict", False),
-        (http(413, {}), "invalid", False),
-        (http(400, {}), "invalid", False),
-        (http(429, {}), "throttled", False),
-        (http(503, {}), "unavailable", True),
-        (http(500, {}), "unavailable", True),
-        (http(302, {}), "unavailable", True),
-        (http(200, {"version": 7}, length=400), "unavailable", True),
-        (http(200, b"not json"), "unavailable", True),
-        (http(200, {"revision": 7}), "unavailable", True),
-        (http(200, {"version": True}), "unavailable", True),
-        (http(409, {"version": 7}), "unavailable", True),
+        (http_reply(409, {"version": 7, "value": {"a": 1}}), "conflict", False),
+        (http_reply(413, {}), "invalid", False),
+        (http_reply(400, {}), "invalid", False),
+        (http_reply(429, {}), "throttled", False),
+        (http_reply(503, {}), "unavailable", True),
+        (http_reply(500, {}), "unavailable", True),
+        (http_reply(302, {}), "unavailable", True),
+        (http_reply(200, {"version": 7}, length=400), "unavailable", True),
+        (http_reply(200, b"not json"), "unavailable", True),
+        (http_reply(200, {"revision": 7}), "unavailable", True),
+        (http_reply(200, {"version": True}), "unavailable", True),
+        (http_reply(409, {"version": 7}), "unavailable", True),
         (None, "unavailable", True),
     ],
 )
@@ -206,8 +206,8 @@
         assert (error.kind, error.stored) == ("conflict", None)
         assert client.is_up()
 
-    absent = http(409, {"version": 0, "value": None})
-    run_against([http(404, {}), http(404, {}), absent], scenario)
+    absent = http_reply(409, {"version": 0, "value": None})
+    run_against([http_reply(404, {}), http_reply(404, {}), absent], scenario)
 
 
 def test_hanging_platform_is_an_unknown_outcome():
@@ -219,7 +219,7 @@
             return web.json_response({"version": 1})
 
         async with web_server(hang) as port:
-            async with client_of(port, timeout_s=0.2) as client:
+            async with running_client(port, timeout_s=0.2) as client:
                 error = (await client.write("k", "n", {}, 0)).failure()
                 assert (error.kind, error.sent) == ("unavailable", True)
             release.set()
@@ -227,19 +227,19 @@
     asyncio.run(run())
 
 
-def test_refused_connect_is_not_sent_and_the_next_address_has_its_turn():
+def test_refused_connect_is_not_sent_and_the_next_address_is_used():
     async def run():
         closed = await asyncio.start_server(lambda r, w: None, "127.0.0.1", 0)
         closed_port = closed.sockets[0].getsockname()[1]
         closed.close()
         await closed.wait_closed()
-        server = RawServer([http(200, {"version": 1})])
+        server = RawServer([http_reply(200, {"version": 1})])
         port = await server.start()
-        async with client_of(closed_port, port) as client:
+        async with running_client(closed_port, port) as client:
             error = (await client.write("k", "n", {}, 0)).failure()
             assert (error.kind, error.sent) == ("unavailable", False)
             assert not client.is_up()
-            # The failure took the saved-up calls away, but not the reserve.
+            # The failure discarded the unused tokens, but not the urgent reserve.
             written = await client.write("k", "n", {}, 0, urgent=True)
             assert written == Success(1)
         await server.close()
@@ -247,7 +247,7 @@
     asyncio.run(run())
 
 
-def test_spent_budget_is_refused_here_with_the_time_to_wait():
+def test_call_beyond_the_budget_is_refused_with_the_time_to_wait():
     async def scenario(client, server):
         for _ in range(2):
             await client.write("k", "n", {}, 0, urgent=True)
@@ -256,5 +256,5 @@
         assert error.retry_after_s > 0.0
         assert len(server.requests) == 2
 
-    limits = FAST._replace(writes_per_s=1e-3)
-    run_against([http(200, {"version": 1})] * 3, scenario, limits=limits)
+    limits = HIGH_LIMITS._replace(writes_per_s=1e-3)
+    run_against([http_reply(200, {"version": 1})] * 3, scenario, limits=limits)
--- a/libs/peers/gypsumusher_peers/server.py
+++ b/libs/peers/gypsumusher_peers/server.py
@@ -27,6 +27,7 @@
 HANDSHAKE_TIMEOUT_S = 3.0
 FRAME_TIMEOUT_S = 10.0
 IDLE_TIMEOUT_S = 300.0
+# Longest wait in close() until the cancelled connection tasks have ended.
 CLOSE_TIMEOUT_S = 1.0
 
 
