--- a/libs/daemon/gypsumusher_daemon/__main__.py
+++ b/libs/daemon/gypsumusher_daemon/__main__.py
@@ -1,4 +1,4 @@
-"""Lets ``python -m gypsumusher_daemon`` run the daemon."""
+"""Entry point of ``python -m gypsumusher_daemon``."""
 
 import sys
 
--- a/libs/daemon/gypsumusher_daemon/abandoned_streams.py
+++ b/libs/daemon/gypsumusher_daemon/abandoned_streams.py
@@ -1,25 +1,26 @@
-"""Streams whose caller has gone: cancelled unless somebody takes them up."""
+"""Cancels streams whose caller disconnected, unless they are resumed in time."""
 
 import asyncio
 
 __all__ = ["RESUME_GRACE_S", "AbandonedStreams"]
 
-# A caller whose host or connection died reconnects within a second or two. Longer
-# would let engines work for nobody.
+# A caller whose host or connection failed reconnects within 1 to 2 s. A longer grace
+# period would keep engines generating output that nobody reads.
 RESUME_GRACE_S = 5.0
 
 
 class AbandonedStreams:
-    """Ends the engine's work for callers who have gone, after a grace.
+    """Cancels the engine stream of a disconnected caller after a grace period.
 
-    Without the grace a caller that lost its connection could not resume: the host it
-    comes to would find its stream cancelled. Without the cancel an engine would go on
-    working for callers who gave up, which at peak are the ones that waited longest.
+    Without the grace period a caller that lost its connection could not resume: the
+    host it reconnects to would find the stream cancelled. Without the cancellation an
+    engine would go on generating for callers that gave up, which at peak load are the
+    ones that waited longest.
 
     Parameters
     ----------
     sessions : EngineSessions
-        HTTP to endpoints.
+        HTTP sessions to endpoints.
     log : callable
         Structured log.
     """
@@ -30,51 +31,52 @@
         self._pending = {}
         self._tasks = set()
 
-    def leave(self, task, find_place):
-        """Note that the caller of a running request has gone.
+    def on_caller_gone(self, task, find_location):
+        """Schedule the cancellation of a request whose caller disconnected.
 
         Parameters
         ----------
         task : asyncio.Task
-            Sees the request through.
-        find_place : callable
-            Returns the ``StreamPlace`` of its stream, or None before there is one.
+            Runs the request.
+        find_location : callable
+            Returns the ``StreamLocation`` of the request's stream, or None while the
+            engine has not named it.
         """
         if task.done():
             return
-        place = find_place()
-        if place is None or not place.stream_id:
-            # Nothing was handed to the caller by which it could resume.
+        location = find_location()
+        if location is None or not location.stream_id:
+            # The caller has no resume token, so it can't come back for this stream.
             task.cancel()
             return
-        end = asyncio.ensure_future(self._end_later(task, place))
-        self._pending[place.stream_id] = end
-        self._tasks.add(end)
-        end.add_done_callback(self._tasks.discard)
+        cancellation = asyncio.ensure_future(self._cancel_after_grace(task, location))
+        self._pending[location.stream_id] = cancellation
+        self._tasks.add(cancellation)
+        cancellation.add_done_callback(self._tasks.discard)
 
-    def taken_up(self, stream_id):
-        """Note that a caller has resumed a stream, here or through another host.
+    def on_resumed(self, stream_id):
+        """Call off the cancellation of a stream that this or another host resumed.
 
         Parameters
         ----------
         stream_id : str
-            The engine's name of the stream.
+            The stream's id on its engine.
         """
-        end = self._pending.pop(stream_id, None)
-        if end is not None:
-            end.cancel()
+        cancellation = self._pending.pop(stream_id, None)
+        if cancellation is not None:
+            cancellation.cancel()
 
     async def close(self):
-        """Stop waiting; the engines' own retention ends what is left."""
+        """Drop pending cancellations; engines drop their streams after a retention."""
         tasks = list(self._tasks)
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
 
-    async def _end_later(self, task, place):
-        """Cancel the engine's work after the grace."""
+    async def _cancel_after_grace(self, task, location):
+        """Cancel the request and its engine stream after the grace period."""
         await asyncio.sleep(RESUME_GRACE_S)
-        self._pending.pop(place.stream_id, None)
-        self._log("info", "stream_cancelled", stream=place.stream_id)
+        self._pending.pop(location.stream_id, None)
+        self._log("info", "stream_cancelled", stream=location.stream_id)
         task.cancel()
-        await self._sessions.cancel(place.address, place.stream_id)
+        await self._sessions.cancel(location.address, location.stream_id)
--- a/libs/daemon/gypsumusher_daemon/attempts.py
+++ b/libs/daemon/gypsumusher_daemon/attempts.py
@@ -1,4 +1,4 @@
-"""One attempt of a request on one engine, from its first byte to its last."""
+"""Sends one attempt of a model request to one engine and reads its answer."""
 
 import asyncio
 import json
@@ -10,27 +10,29 @@
     NOT_RUN_CODES,
     AnswerProblem,
     StreamChecker,
-    check_whole_answer,
+    check_complete_answer,
     read_engine_refusal,
 )
 from gypsumusher_routing.events import OversizedEvent
 
 __all__ = ["Attempt", "AttemptResult", "relay_stream", "run_attempt"]
 
+# Bounds the memory that a single answer can take.
 ANSWER_BYTES_MAX = 64 * 1_048_576
-# Takes up a broken stream on the same engine: a connection that breaks while the
-# engine lives is repaired by the second try; more tries only delay the refusal.
+# Reconnections to a broken stream on the same engine. If the engine is alive, the
+# second one succeeds; more of them only delay the refusal.
 RESUMES_MAX = 4
+# The n-th reconnection waits n times this long.
 RESUME_PAUSE_S = 0.1
-# Answers by which an engine says that the request itself is bad, before it runs.
+# Statuses with which an engine rejects an invalid request before running it.
 REJECTING_STATUSES = frozenset({400, 404, 413, 415, 422})
-# Beyond the asked tokens a stream holds a usage event, an end marker and a few
-# events with no token in them.
+# Beyond the requested tokens a stream holds a usage event, an end marker and a few
+# events without a token.
 EXTRA_EVENTS = 16
 
 
 class Attempt(NamedTuple):
-    """What is sent to which engine.
+    """One request to one engine.
 
     Attributes
     ----------
@@ -45,10 +47,10 @@
     priority : int
         Priority on the engine, smaller first.
     fresh : bool
-        Whether to send on a new connection: a kept-alive one may have been closed by
-        the engine a moment ago, which can't be told from a request that ran.
+        Whether to send on a new connection: a kept-alive one may have just been
+        closed by the engine, which can't be told from a request that ran.
     events_max : int
-        Bound on the events of the answer.
+        Most events, or tokens of a JSON answer, that the answer may have.
     """
 
     attempt: str
@@ -67,18 +69,21 @@
     Attributes
     ----------
     reason : str
-        ``done``; ``rejected`` for an engine's final word on a bad request;
-        ``connect``, ``refused``, ``broken``, ``error``, ``crossed`` or ``crash``.
+        ``done``; ``rejected`` when the engine found the request invalid; ``connect``
+        when there was no connection; ``refused`` when the engine took no work;
+        ``broken`` for a lost connection; ``error`` for an invalid answer;
+        ``crossed`` for the answer to another request; ``crash`` when the engine
+        refuses connections.
     ran : str
-        ``no`` or ``unknown``; ``yes`` when it is done.
+        Whether the engine ran the request: ``yes``, ``no`` or ``unknown``.
     output_tokens : int
         Tokens of the answer.
     detail : str
-        What was seen, for logs.
+        Cause of a failure, for logs.
     status : int
-        Status of the engine's answer, 0 when there was none.
+        HTTP status of the engine's answer, 0 when there was none.
     raw : bytes
-        Body of an answer that came as one piece.
+        Body of an answer that was not streamed.
     kv : dict or None
         Where the KV cache can be fetched, after a prefill.
     """
@@ -93,18 +98,18 @@
 
 
 async def run_attempt(sessions, attempt, on_stream, on_events):
-    """Send a request to an engine and see its answer through.
+    """Send a request to an engine and read its answer to the end.
 
     Parameters
     ----------
     sessions : EngineSessions
         The HTTP sessions.
     attempt : Attempt
-        What to send where.
+        What to send to which engine.
     on_stream : callable
         ``on_stream(stream_id)``, called when the engine has named its stream.
     on_events : coroutine function
-        ``await on_events(raw)`` takes whole events of a stream.
+        ``await on_events(raw)`` gets the bytes of complete events of a stream.
 
     Returns
     -------
@@ -124,21 +129,23 @@
             allow_redirects=False,
         )
     except (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError) as error:
-        # No connection, so no byte of the request was written: "not run" is true.
+        # Without a connection no byte of the request was written, so it did not run.
         return AttemptResult("connect", "no", detail=str(error))
     except (aiohttp.ClientError, TimeoutError, OSError) as error:
-        reason = "broken" if await sessions.answers(attempt.address) else "crash"
+        reason = (
+            "broken" if await sessions.accepts_connections(attempt.address) else "crash"
+        )
         return AttemptResult(reason, "unknown", detail=repr(error))
     try:
-        return await _see_through(sessions, attempt, response, on_stream, on_events)
+        return await _read_response(sessions, attempt, response, on_stream, on_events)
     finally:
         response.close()
 
 
-async def _see_through(sessions, attempt, response, on_stream, on_events):
-    """Read an answer whose head has come."""
+async def _read_response(sessions, attempt, response, on_stream, on_events):
+    """Read an answer whose status line and headers have been received."""
     if response.status != 200:
-        return await _failed_answer(sessions, attempt, response)
+        return await _error_result(sessions, attempt, response)
     echoed = response.headers.get("X-Request-Id")
     if echoed != attempt.attempt:
         return AttemptResult("crossed", "unknown", detail=f"echoed id {echoed!r:.80}")
@@ -151,19 +158,21 @@
         )
     try:
         raw = await _read_bounded(response)
-        answer = check_whole_answer(raw, attempt.attempt, attempt.events_max)
+        answer = check_complete_answer(raw, attempt.attempt, attempt.events_max)
     except AnswerProblem as problem:
         return AttemptResult(problem.reason, "unknown", detail=problem.detail)
     except (aiohttp.ClientError, TimeoutError, OSError) as error:
-        reason = "broken" if await sessions.answers(attempt.address) else "crash"
+        reason = (
+            "broken" if await sessions.accepts_connections(attempt.address) else "crash"
+        )
         return AttemptResult(reason, "unknown", detail=repr(error))
     return AttemptResult(
         "done", "yes", answer.output_tokens, status=200, raw=raw, kv=answer.kv
     )
 
 
-async def _failed_answer(sessions, attempt, response):
-    """Judge an answer that is no success."""
+async def _error_result(sessions, attempt, response):
+    """Return the result that an engine's error answer stands for."""
     try:
         raw = await _read_bounded(response)
     except (aiohttp.ClientError, TimeoutError, OSError, AnswerProblem) as error:
@@ -181,19 +190,19 @@
 
 
 async def _read_bounded(response):
-    """Return a body, or raise when it is longer than any answer."""
+    """Return a body; raise AnswerProblem when it is over `ANSWER_BYTES_MAX`."""
     parts = []
     size_bytes = 0
     async for part in response.content.iter_any():
         size_bytes += len(part)
         if size_bytes > ANSWER_BYTES_MAX:
-            raise AnswerProblem("error", f"answer is over {ANSWER_BYTES_MAX} bytes")
+            raise AnswerProblem("error", f"answer exceeds {ANSWER_BYTES_MAX} bytes")
         parts.append(part)
     return b"".join(parts)
 
 
 async def relay_stream(sessions, address, stream_id, checker, on_events, response=None):
-    """Pass on a stream's events to its end, over new connections where one breaks.
+    """Relay a stream's events to its end, reconnecting when the connection breaks.
 
     Parameters
     ----------
@@ -202,29 +211,34 @@
     address : str
         ``IP:PORT`` of the engine.
     stream_id : str
-        The engine's name of the stream; it can't be taken up when empty.
+        The stream's id on its engine; empty when the stream can't be resumed.
     checker : StreamChecker
-        Where the stream stands.
+        Checks the events and holds the position in the stream.
     on_events : coroutine function
-        ``await on_events(raw)`` takes whole events.
+        ``await on_events(raw)`` gets the bytes of complete events.
     response : aiohttp.ClientResponse or None
-        An answer that has begun; None takes the stream up.
+        An open response of the stream; None opens one.
 
     Returns
     -------
     AttemptResult
-        Only the same engine's same stream is ever taken up, so that an answer is
-        never put together from two attempts.
+
+    Notes
+    -----
+    Only the same stream of the same engine is resumed, so that an answer is never
+    put together from two attempts.
     """
     detail = ""
     for resume in range(RESUMES_MAX + 1):
         if response is None:
-            response = await _take_up(sessions, address, stream_id, checker.last_id)
+            response = await _reopen_stream(
+                sessions, address, stream_id, checker.last_id
+            )
         if isinstance(response, AttemptResult):
             return response
         if response is not None:
             try:
-                await _pass_on(response, checker, on_events)
+                await _relay_events(response, checker, on_events)
             except (AnswerProblem, OversizedEvent) as problem:
                 reason = getattr(problem, "reason", "error")
                 detail = str(problem)
@@ -242,12 +256,19 @@
             break
         checker.restart()
         await asyncio.sleep(RESUME_PAUSE_S * resume)
-    reason = "broken" if await sessions.answers(address) else "crash"
+    reason = "broken" if await sessions.accepts_connections(address) else "crash"
     return AttemptResult(reason, "unknown", detail=detail or "stream ended early")
 
 
-async def _take_up(sessions, address, stream_id, after):
-    """Open a stream again; a result when the engine no longer has it."""
+async def _reopen_stream(sessions, address, stream_id, after):
+    """Resume a stream after an event.
+
+    Returns
+    -------
+    aiohttp.ClientResponse, AttemptResult or None
+        A result when the stream or its engine is gone, None when another try may
+        succeed.
+    """
     try:
         response = await sessions.shared.get(
             f"http://{address}/v1/streams/{stream_id}",
@@ -260,15 +281,15 @@
         return None
     if response.status == 404:
         response.close()
-        return AttemptResult("broken", "unknown", detail="engine forgot the stream")
+        return AttemptResult("broken", "unknown", detail="engine no longer has stream")
     if response.status != 200:
         response.close()
         return None
     return response
 
 
-async def _pass_on(response, checker, on_events):
-    """Pass on whole events until the end marker or the connection's end."""
+async def _relay_events(response, checker, on_events):
+    """Relay complete events until the end marker or the end of the connection."""
     async for data in response.content.iter_any():
         raw = checker.feed(data)
         if raw:
--- a/libs/daemon/gypsumusher_daemon/caller_routes.py
+++ b/libs/daemon/gypsumusher_daemon/caller_routes.py
@@ -1,4 +1,4 @@
-"""The callers' HTTP routes: model work, plain services, keys, entry answers."""
+"""HTTP routes for callers: model requests, plain services, keys and entry hosts."""
 
 import asyncio
 import json
@@ -23,13 +23,14 @@
     refusal_headers,
 )
 
-__all__ = ["create_callers_app", "is_busy", "send_delivery", "send_refusal"]
+__all__ = ["create_callers_app", "is_busy", "send_delivery", "refusal_response"]
 
 JSON = "application/json"
 METHODS = ["GET", "HEAD", "POST", "PUT", "PATCH", "DELETE", "OPTIONS"]
-# Longer than any answer takes: what bounds an answer is the engine's silence limit
-# and the caller's deadline, not the HTTP library.
+# Longer than any answer takes: an answer is bounded by the engine's silence limit and
+# the caller's deadline, not by the HTTP library.
 RESPONSE_TIMEOUT_S = 86_400
+# An idle connection of a caller is closed after this.
 KEEP_ALIVE_S = 75
 HEADER_BYTES_MAX = 16_384
 RETRY_STARTING_S = 1.0
@@ -57,56 +58,62 @@
             "RESPONSE_TIMEOUT": RESPONSE_TIMEOUT_S,
             "KEEP_ALIVE_TIMEOUT": KEEP_ALIVE_S,
             "ACCESS_LOG": False,
-            # The library rewrites its own methods for the first app of a process
-            # and fails at the second one.
+            # Sanic's touch-up rewrites its own methods for the first app of a
+            # process and fails for the second one.
             "TOUCHUP": False,
         }
     )
 
-    async def model_work(request):
+    async def completions(request):
         return await _serve_model(host, request)
 
     async def service(request, name, path=""):
         return await _serve_service(host, request, name, path)
 
     async def entry(request):
-        return _answer_json(entry_answer(host, request.args))
+        return _json_response(entry_answer(host, request.args))
 
     async def models(request):
-        return _answer_json(models_answer(host))
+        return _json_response(models_answer(host))
 
     async def mint_key(request):
-        refusal = host.readiness.refusal_of_state()
+        refusal = host.readiness.current_refusal()
         if refusal is not None:
-            return send_refusal(refusal, "")
+            return refusal_response(refusal, "")
         deployment = request.args.get("deployment")
-        return _answer_json({"key": host.flows.mint_key(deployment)})
+        return _json_response({"key": host.request_runner.mint_key(deployment)})
 
     async def find_key(request, key):
         forwarded = FORWARDED_HEADER in request.headers
-        return _answer_json(await host.flows.key_outcome(unquote(key), forwarded))
+        return _json_response(
+            await host.request_runner.key_outcome(unquote(key), forwarded)
+        )
 
     async def resume(request):
         return await _resume(host, request)
 
     async def healthz(request):
-        return _answer_json({"host": host.name, "state": host.state})
+        return _json_response({"host": host.name, "state": host.state})
 
     async def readyz(request):
         ready = host.readiness.is_ready()
-        body = {"ready": ready, "state": host.state, "config_number": host.number}
-        return _answer_json(body, 200 if ready else 503)
+        body = {
+            "ready": ready,
+            "state": host.state,
+            "config_number": host.config_number,
+        }
+        return _json_response(body, 200 if ready else 503)
 
     async def metrics(request):
         body, headers = host.metrics.render(request.headers.getall("accept", []))
         return raw(body, headers=headers)
 
-    model_work = with_body(model_work, settings)
-    service = with_body(service, settings)
-    mint_key = with_body(mint_key, settings)
+    completions = with_bounded_body(completions, settings)
+    service = with_bounded_body(service, settings)
+    mint_key = with_bounded_body(mint_key, settings)
     model_routes = {"methods": ["POST"], "stream": True}
-    app.add_route(model_work, COMPLETIONS, name="completions", **model_routes)
-    app.add_route(model_work, CHAT_COMPLETIONS, name="chat", **model_routes)
+    app.add_route(completions, COMPLETIONS, name="completions", **model_routes)
+    app.add_route(completions, CHAT_COMPLETIONS, name="chat", **model_routes)
     app.add_route(models, "/v1/models")
     app.add_route(entry, "/v1/entry")
     service_routes = {"methods": METHODS, "stream": True}
@@ -123,22 +130,24 @@
     app.add_route(readyz, "/readyz")
     app.add_route(metrics, "/metrics")
     app.error_handler.add(SanicException, _on_http_error)
-    app.error_handler.add(Exception, lambda request, error: _on_fault(host, error))
+    app.error_handler.add(
+        Exception, lambda request, error: _on_unhandled_error(host, error)
+    )
     return app
 
 
-def with_body(handler, settings):
-    """Return a handler that reads the request's body first, within bounds.
+def with_bounded_body(handler, settings):
+    """Return a handler that first reads the request body, limited in time and size.
 
-    Failure guarded against: a sender that stops in mid-body, or never stops. The HTTP
-    library limits the time of the headers only, so that each slow sender would hold
-    a connection for as long as an answer may take, and it limits the size only where
-    it reads the body itself.
+    Guards against a sender that stops in the middle of the body or never ends it.
+    The HTTP library limits only the time of the headers, so a slow sender would hold
+    a connection for `RESPONSE_TIMEOUT_S`, and it limits the size only of a body that
+    it reads itself.
 
     Parameters
     ----------
     handler : coroutine function
-        Takes the request with its whole body.
+        Called with the request once ``request.body`` is complete.
     settings : dict
         The daemon's settings.
     """
@@ -156,7 +165,7 @@
             message = f"the body is over {max_bytes} bytes"
             refusal = Refusal("too_large", message, step="http")
         if refusal is not None:
-            await _refuse_and_hang_up(request, refusal)
+            await _refuse_and_close(request, refusal)
             return None
         request.body = body
         return await handler(request, **arguments)
@@ -165,7 +174,7 @@
 
 
 async def _read_body(request, max_bytes):
-    """Return the whole body of a request."""
+    """Return the complete body of a request; raise PayloadTooLarge when over limit."""
     parts = []
     size_bytes = 0
     async for part in request.stream:
@@ -176,11 +185,11 @@
     return b"".join(parts)
 
 
-async def _refuse_and_hang_up(request, refusal):
-    """Refuse a request whose body has not come whole, and end its connection.
+async def _refuse_and_close(request, refusal):
+    """Refuse a request whose body is incomplete, and close its connection.
 
-    The library would go on to read the rest of the body before it serves the next
-    request on the connection; a slow sender has it wait for ever.
+    The library would read the rest of the body before it serves the next request on
+    the connection, and a slow sender would keep it waiting without limit.
     """
     response = await request.respond(
         status=STATUS_BY_CODE[refusal.code],
@@ -193,7 +202,7 @@
 
 
 def is_busy(connection):
-    """Return whether a connection has a request or unsent bytes of an answer.
+    """Return whether a connection serves a request or has unsent bytes of an answer.
 
     Parameters
     ----------
@@ -208,36 +217,36 @@
 
 
 def _on_http_error(request, error):
-    """Answer what the HTTP library itself refuses, in our own form."""
+    """Return the refusal for a request that the HTTP library itself rejected."""
     status = getattr(error, "status_code", 500)
     code = "too_large" if status == 413 else "malformed"
     refusal = Refusal(code, str(error)[:200], step="http")
-    response = send_refusal(refusal, "")
+    response = refusal_response(refusal, "")
     response.status = status
     return response
 
 
-def _on_fault(host, error):
-    """Answer a fault of ours without its traceback."""
+def _on_unhandled_error(host, error):
+    """Log an unhandled exception and answer without its traceback."""
     host.log("error", "handler_failed", error=repr(error))
     refusal = Refusal("endpoint_failed", "internal error", "unknown", "handler")
-    return send_refusal(refusal, "")
+    return refusal_response(refusal, "")
 
 
-def _answer_json(body, status=200):
-    """Return a small JSON answer."""
+def _json_response(body, status=200):
+    """Return a JSON response."""
     return raw(json.dumps(body).encode(), status=status, content_type=JSON)
 
 
-def send_refusal(refusal, request_id):
-    """Return the response that carries a refusal.
+def refusal_response(refusal, request_id):
+    """Return the HTTP response for a refusal.
 
     Parameters
     ----------
     refusal : Refusal
-        Why.
+        Why the request is not served.
     request_id : str
-        The request, empty when it has no id yet.
+        Id of the request, empty when it has none yet.
     """
     return raw(
         refusal_body(refusal, request_id),
@@ -248,7 +257,7 @@
 
 
 async def send_delivery(request, delivery, on_gone):
-    """Send an answer to the caller as it comes.
+    """Send an answer to the caller: a stream as it arrives, any other when complete.
 
     Parameters
     ----------
@@ -257,29 +266,34 @@
     delivery : Delivery
         Its answer.
     on_gone : callable
-        Called when the caller breaks off before the end.
+        Called when the caller disconnects before the end.
+
+    Returns
+    -------
+    sanic.HTTPResponse or None
+        None when the answer was streamed.
     """
     try:
         head = await delivery.wait_head()
         if head is None:
             refusal = Refusal(
                 "key_unknown_outcome",
-                "the answer broke off before it began",
+                "the connection to the endpoint was lost before an answer began",
                 "unknown",
                 "relay",
             )
-            return send_refusal(refusal, "")
+            return refusal_response(refusal, "")
         content_type = head.headers.get("Content-Type", JSON)
         if not content_type.startswith("text/event-stream"):
-            return await _send_whole(delivery, head, content_type)
+            return await _complete_response(delivery, head, content_type)
         response = await request.respond(
             status=head.status, headers=head.headers, content_type=content_type
         )
         async for chunk in delivery.read():
             await response.send(chunk)
-        if not delivery.whole:
-            # No regular end of the body: a client that ignores the missing end
-            # marker still sees that the answer was cut.
+        if not delivery.complete:
+            # Aborting leaves the chunked body without its end, so a client that
+            # ignores the missing end marker still sees that the answer is truncated.
             request.transport.abort()
             return None
         await response.eof()
@@ -290,26 +304,27 @@
     return None
 
 
-async def _send_whole(delivery, head, content_type):
-    """Return an answer with its length, once it is known to be whole."""
+async def _complete_response(delivery, head, content_type):
+    """Return the response for an answer with its length, or a refusal if truncated."""
     parts = [chunk async for chunk in delivery.read()]
-    if not delivery.whole:
+    if not delivery.complete:
         refusal = Refusal(
-            "key_unknown_outcome", "the answer was cut", "unknown", "relay"
+            "key_unknown_outcome", "the answer was truncated", "unknown", "relay"
         )
-        return send_refusal(refusal, "")
+        return refusal_response(refusal, "")
     headers = {k: v for k, v in head.headers.items() if k != "Content-Type"}
     return raw(
         b"".join(parts), status=head.status, headers=headers, content_type=content_type
     )
 
 
-def _careful(refusal, request):
-    """Return a refusal that speaks for the key too, not for this attempt alone.
+def _with_unknown_run(refusal, request):
+    """Return the refusal with ``run`` set to unknown if the request carries a key.
 
-    Failure guarded against: a booking ran through one host, and its caller, who got
-    no answer, repeats the key through a host that refuses before it has looked the
-    key up. "Not run" would have the caller book anew under another key.
+    A keyed request may have run through another host. When its caller, who got no
+    answer, repeats it through a host that refuses before looking the key up, "not
+    run" would make the caller send the request again under another key, and it would
+    run twice.
     """
     if "idempotency-key" not in request.headers or refusal.code == "malformed":
         return refusal
@@ -317,63 +332,71 @@
 
 
 async def _serve_model(host, request):
-    """Serve one request for model work."""
-    refusal = host.readiness.refusal_of_state()
+    """Serve a completion or chat completion request."""
+    refusal = host.readiness.current_refusal()
     if refusal is not None:
-        return send_refusal(_careful(refusal, request), "")
+        return refusal_response(_with_unknown_run(refusal, request), "")
     call = parse_model_request(
         request.path, request.headers, request.body, host.document
     )
     if isinstance(call, Refusal):
-        return send_refusal(_careful(call, request), "")
-    await host.flows.follow_deployment(call.deployment)
+        return refusal_response(_with_unknown_run(call, request), "")
+    await host.request_runner.ensure_polled(call.deployment)
     if call.idempotent:
-        running = host.flows.begin_model(call)
+        running = host.request_runner.start_model(call)
         return await send_delivery(
-            request, running.delivery, lambda: host.flows.abandon(running)
+            request, running.delivery, lambda: host.request_runner.abandon(running)
         )
-    key = call.key or host.flows.mint_key(call.deployment)
+    key = call.key or host.request_runner.mint_key(call.deployment)
     forwarded = FORWARDED_HEADER in request.headers
-    answer = await host.flows.serve_keyed(
-        key, call.fingerprint, host.flows.model_runner(call, key), request, forwarded
+    answer = await host.request_runner.run_keyed(
+        key,
+        call.fingerprint,
+        host.request_runner.model_runner(call, key),
+        request,
+        forwarded,
     )
     if isinstance(answer, Refusal):
-        return send_refusal(answer, "")
+        return refusal_response(answer, "")
     return await send_delivery(request, answer, lambda: None)
 
 
 async def _serve_service(host, request, name, path):
-    """Serve one call of a plain service."""
-    refusal = host.readiness.refusal_of_state()
+    """Serve a request to a plain service."""
+    refusal = host.readiness.current_refusal()
     if refusal is not None:
-        return send_refusal(_careful(refusal, request), "")
-    call = host.flows.service_call(request, name, "/" + path)
+        return refusal_response(_with_unknown_run(refusal, request), "")
+    call = host.request_runner.service_call(request, name, "/" + path)
     if isinstance(call, Refusal):
-        return send_refusal(_careful(call, request), "")
+        return refusal_response(_with_unknown_run(call, request), "")
     key = request.headers.get("idempotency-key")
     if key is None:
-        delivery = host.flows.begin_service(call)
+        delivery = host.request_runner.start_service(call)
         return await send_delivery(request, delivery, lambda: None)
     forwarded = FORWARDED_HEADER in request.headers
-    fingerprint = host.flows.service_fingerprint(call)
-    answer = await host.flows.serve_keyed(
-        key, fingerprint, host.flows.service_runner(call, key), request, forwarded
+    fingerprint = host.request_runner.service_fingerprint(call)
+    answer = await host.request_runner.run_keyed(
+        key,
+        fingerprint,
+        host.request_runner.service_runner(call, key),
+        request,
+        forwarded,
     )
     if isinstance(answer, Refusal):
-        return send_refusal(answer, "")
+        return refusal_response(answer, "")
     return await send_delivery(request, answer, lambda: None)
 
 
 async def _resume(host, request):
-    """Take up a stream that another connection or host began."""
+    """Resume a stream that was started on another connection or host."""
     token = request.headers.get("gypsumusher-resume", "")
     last = request.headers.get("last-event-id", "0")
     if not last.isdigit() or len(last) > 9:
         refusal = Refusal("malformed", "Last-Event-ID must be a number", step="resume")
-        return send_refusal(refusal, "")
-    resumed = await host.flows.begin_resume(token, int(last))
+        return refusal_response(refusal, "")
+    resumed = await host.request_runner.start_resume(token, int(last))
     if isinstance(resumed, Refusal):
-        return send_refusal(resumed, "")
+        return refusal_response(resumed, "")
     return await send_delivery(
-        request, resumed.delivery, lambda: host.flows.abandon(resumed)
+        request, resumed.delivery, lambda: host.request_runner.abandon(resumed)
     )
--- a/libs/daemon/gypsumusher_daemon/cell_members.py
+++ b/libs/daemon/gypsumusher_daemon/cell_members.py
@@ -1,34 +1,34 @@
-"""Which hosts serve which deployments, and which hosts talk to each other."""
+"""Chooses the hosts that serve each deployment and the hosts that gossip."""
 
 from gypsumusher_policy import choose_cell
 
 __all__ = ["GOSSIP_HOSTS_MIN", "cell_of", "gossip_hosts", "own_deployments"]
 
-# A host in no cell still has to hear of a new configuration and of crashing
-# requests while the platform is down.
+# Least number of gossip hosts, itself included: a host in no cell must still receive
+# a new configuration and crash reports while the platform is down.
 GOSSIP_HOSTS_MIN = 8
 
 
 def cell_of(document, hosts, deployment):
     """Return the hosts that serve a deployment, most preferred first.
 
-    Made for 330 hosts before 910 replicas of 40 models: a host that followed every
-    replica would read some 1,800 load reports a second and gossip with 329 others.
-    In a cell of 8 it follows about 23 replicas and 7 hosts.
+    Sized for 330 hosts and 910 replicas of 40 models: a host that polled every
+    replica would read about 1,800 load reports per second and gossip with 329 hosts.
+    In a cell of 8 hosts it polls about 23 replicas and gossips with 7 hosts.
 
     Parameters
     ----------
     document : dict
         The configuration document.
     hosts : list of (name, zone)
-        Hosts that are taken to be live.
+        Hosts considered live.
     deployment : str
         The deployment.
 
     Returns
     -------
     list of str
-        Names, the same on every host that knows the same hosts.
+        Names; any host given the same live hosts computes the same list.
     """
     section = document.get("deployments", {}).get(deployment)
     if section is None:
@@ -37,14 +37,14 @@
 
 
 def own_deployments(document, hosts, name):
-    """Return the deployments whose cell a host is in.
+    """Return the set of deployments whose cell a host belongs to.
 
     Parameters
     ----------
     document : dict
         The configuration document.
     hosts : list of (name, zone)
-        Hosts that are taken to be live, this one among them.
+        Hosts considered live, including this one.
     name : str
         The host.
     """
@@ -63,15 +63,16 @@
     document : dict or None
         The configuration document, None before there is one.
     hosts : list of (name, zone)
-        All known hosts, also those that are suspected: they are probed on, so that
-        a wrong suspicion heals.
+        All known hosts, including suspected ones: they are still probed, so that a
+        wrong suspicion is withdrawn.
     name : str
         The host.
 
     Returns
     -------
     set of str
-        The other members of its cells, and some by hashing where those are few.
+        The other members of its cells, and hosts chosen by hashing when those are
+        fewer than `GOSSIP_HOSTS_MIN`.
     """
     if len(hosts) <= GOSSIP_HOSTS_MIN:
         return {other for other, _ in hosts if other != name}
--- a/libs/daemon/gypsumusher_daemon/clock.py
+++ b/libs/daemon/gypsumusher_daemon/clock.py
@@ -1,4 +1,4 @@
-"""The host's own clock."""
+"""The boot-time clock of a host."""
 
 import time
 
@@ -6,10 +6,10 @@
 
 
 def boot_time_s():
-    """Return the seconds since this host's boot, counting suspended time.
+    """Return the seconds since this host booted, including suspended time.
 
-    Leases count this clock: CLOCK_MONOTONIC stands still while a host is suspended,
+    Leases are timed with this clock: CLOCK_MONOTONIC stops while a host is suspended,
     so a lease held across a suspension would look valid to its holder after it has
-    lapsed for everyone else. Readings of two hosts are never compared.
+    expired for every other host. Readings of different hosts are never compared.
     """
     return time.clock_gettime(time.CLOCK_BOOTTIME)
--- a/libs/daemon/gypsumusher_daemon/cmdline.py
+++ b/libs/daemon/gypsumusher_daemon/cmdline.py
@@ -4,7 +4,7 @@
 import functools
 import sys
 
-# First, since it keeps io_uring off before uvloop is imported.
+# Imported first: it disables io_uring, which must happen before uvloop is imported.
 from gypsumusher_process import (  # isort: skip
     check_no_io_uring,
     create_log,
@@ -21,12 +21,12 @@
 
 
 def main(arguments=None):
-    """Run the daemon until it is told to stop.
+    """Run the daemon until a signal stops it.
 
     Parameters
     ----------
     arguments : list of str or None
-        Command line; the process's own by default.
+        Command-line arguments; those of the process by default.
 
     Returns
     -------
@@ -51,7 +51,7 @@
 
 
 def _reload(host, path):
-    """Read the settings anew; a bad file changes nothing."""
+    """Reload the settings file; an invalid file is logged and changes nothing."""
     try:
         host.reload(load_settings(path))
     except GypsumusherError as error:
@@ -59,7 +59,7 @@
 
 
 async def _serve(path, settings):
-    """Start the host, wait for a signal, stop as planned."""
+    """Start the host, wait for a stop signal and run the planned stop."""
     log = create_log(settings["host.name"], settings["log.level"])
     host = EntryHost(settings, log)
     stop = install_signal_handlers(functools.partial(_reload, host, path))
--- a/libs/daemon/gypsumusher_daemon/delivery.py
+++ b/libs/daemon/gypsumusher_daemon/delivery.py
@@ -1,11 +1,12 @@
-"""Delivery of one answer from the task that gets it to the caller that waits."""
+"""Buffers one answer between the task that produces it and its readers."""
 
 import asyncio
 from typing import NamedTuple
 
 __all__ = ["Delivery", "Head"]
 
-# A caller that reads slowly holds back its engine's stream, not this host's memory.
+# A caller that reads slowly throttles its engine's stream instead of filling this
+# host's memory.
 BUFFERED_BYTES_MAX = 1_048_576
 
 
@@ -17,29 +18,29 @@
 
 
 class Delivery:
-    """One answer on its way: a head, chunks, and whether it is whole.
+    """One answer in transit: its head, its chunks and whether it is complete.
 
     Parameters
     ----------
-    kept_bytes_max : int
-        0 for an answer that is passed on and forgotten. Otherwise the answer is
-        kept up to this size, so that a repeated key gets the very same bytes.
+    retained_bytes_max : int
+        0 for an answer whose chunks are dropped once read. Otherwise the answer is
+        retained up to this size, so that a repeated key gets identical bytes.
 
     Attributes
     ----------
     head : Head or None
         Set once, before the first chunk.
-    whole : bool
+    complete : bool
         Whether the answer was checked to be complete.
     closed : bool
-        Whether nothing more will come.
+        Whether the producer has finished, completely or not.
     """
 
-    def __init__(self, kept_bytes_max=0):
+    def __init__(self, retained_bytes_max=0):
         self.head = None
-        self.whole = False
+        self.complete = False
         self.closed = False
-        self.kept_bytes_max = kept_bytes_max
+        self.retained_bytes_max = retained_bytes_max
         self.size_bytes = 0
         self._chunks = []
         self._first_index = 0
@@ -49,12 +50,12 @@
         self._abandoned = False
 
     @property
-    def kept(self):
-        """Whether the bytes from the first on are all still here."""
+    def is_retained(self):
+        """Whether all bytes since the first are still buffered."""
         return self._first_index == 0
 
     def set_head(self, status, headers):
-        """Say how the answer begins.
+        """Set the status and headers of the answer.
 
         Parameters
         ----------
@@ -64,12 +65,12 @@
             Response headers.
         """
         if self.head is not None:
-            raise RuntimeError("an answer has one head")
+            raise RuntimeError("the head of the answer is already set")
         self.head = Head(status, dict(headers))
         self._wake()
 
     async def put(self, chunk):
-        """Add bytes; waits while an attached caller is too far behind.
+        """Append bytes; wait while over `BUFFERED_BYTES_MAX` are unread.
 
         Parameters
         ----------
@@ -79,51 +80,51 @@
         self._chunks.append(chunk)
         self.size_bytes += len(chunk)
         self._buffered_bytes += len(chunk)
-        if self.kept_bytes_max and self.size_bytes > self.kept_bytes_max:
-            self.kept_bytes_max = 0
+        if self.retained_bytes_max and self.size_bytes > self.retained_bytes_max:
+            self.retained_bytes_max = 0
         self._wake()
         while (
             not self._abandoned
-            and not self.kept_bytes_max
+            and not self.retained_bytes_max
             and self._buffered_bytes > BUFFERED_BYTES_MAX
         ):
             await self._next_change()
-        if self._abandoned and not self.kept_bytes_max and not self._positions:
+        if self._abandoned and not self.retained_bytes_max and not self._positions:
             self._drop_all()
 
     def abandon(self):
-        """Say that the caller has gone: no more waiting for it to read."""
+        """Mark the caller as disconnected: `put` no longer waits for it to read."""
         self._abandoned = True
         self._wake()
 
-    def close(self, whole):
-        """Say that nothing more will come.
+    def close(self, complete):
+        """Mark the end of the answer.
 
         Parameters
         ----------
-        whole : bool
+        complete : bool
             Whether the answer is complete.
         """
-        self.whole = whole
+        self.complete = complete
         self.closed = True
         self._wake()
 
     async def wait_head(self):
-        """Return the head once it is known, or None if there will be none."""
+        """Return the head once it is set, or None if the answer ended without one."""
         while self.head is None and not self.closed:
             await self._next_change()
         return self.head
 
     async def read(self):
-        """Yield the chunks from the first on.
+        """Yield all chunks from the first to the end of the answer.
 
         Raises
         ------
         LookupError
-            When the first bytes are gone already.
+            When the first bytes were dropped already.
         """
-        if not self.kept:
-            raise LookupError("the answer was too large to be kept")
+        if not self.is_retained:
+            raise LookupError("the first bytes of the answer were dropped")
         reader = object()
         self._positions[reader] = 0
         try:
@@ -142,24 +143,26 @@
             self._release()
 
     def _release(self):
-        """Forget the chunks that every reader has taken, unless they are kept."""
-        if self.kept_bytes_max or not self._positions:
+        """Drop the chunks that every reader has read, unless they are retained."""
+        if self.retained_bytes_max or not self._positions:
             return
-        taken = min(self._positions.values())
-        while self._first_index < taken:
+        read_count = min(self._positions.values())
+        while self._first_index < read_count:
             self._buffered_bytes -= len(self._chunks.pop(0))
             self._first_index += 1
         self._wake()
 
     def _drop_all(self):
-        """Forget everything: nobody reads and nothing is to be kept."""
+        """Drop all chunks: there is no reader and nothing is to be retained."""
         self._first_index += len(self._chunks)
         self._chunks.clear()
         self._buffered_bytes = 0
 
     def _wake(self):
+        """Wake the producer and the readers after a change."""
         self._changed.set()
 
     async def _next_change(self):
+        """Wait until something has changed since this call."""
         self._changed.clear()
         await self._changed.wait()
--- a/libs/daemon/gypsumusher_daemon/dispatch.py
+++ b/libs/daemon/gypsumusher_daemon/dispatch.py
@@ -1,4 +1,4 @@
-"""Drives the schedulers: requests and reports in, starts and refusals out."""
+"""Calls the schedulers and hands their actions to the waiting requests."""
 
 import asyncio
 import zlib
@@ -17,16 +17,16 @@
 
 
 class Ticket(NamedTuple):
-    """A request's place in its scheduler.
+    """A request submitted to a scheduler, and the scheduler's actions for it.
 
     Attributes
     ----------
     request_id : str
         The request.
     deployment : str
-        Whose scheduler has it.
+        The deployment whose scheduler has the request.
     actions : asyncio.Queue
-        ``Start`` and ``Refuse`` for this request, in order.
+        ``Start`` and ``Refuse`` actions for this request, in order.
     """
 
     request_id: str
@@ -35,14 +35,14 @@
 
 
 def deployment_policy(name, section):
-    """Return the scheduler's settings from a deployment's configuration.
+    """Return a deployment's scheduler policy from its configuration section.
 
     Parameters
     ----------
     name : str
         The deployment.
     section : dict
-        Its checked section of the configuration document.
+        Validated section of the configuration document.
     """
     classes = {}
     for class_name, targets in section["classes"].items():
@@ -69,7 +69,7 @@
 
 
 class Dispatcher:
-    """The schedulers of this host and the requests that wait on them.
+    """The schedulers of this host, one per deployment, and their open requests.
 
     Parameters
     ----------
@@ -78,7 +78,7 @@
     clock : callable
         Boot-time clock.
     quarantine : Quarantine
-        Contents that are suspected or convicted of crashing engines.
+        Requests suspected or convicted of crashing engines.
     """
 
     def __init__(self, host, zone, clock, quarantine):
@@ -92,24 +92,24 @@
         self._hosts = []
 
     def set_hosts(self, names):
-        """Tell the schedulers which other hosts send work to the same engines.
+        """Set the other hosts that send requests to the same engines.
 
         Parameters
         ----------
         names : list of str
-            The hosts.
+            Names of the hosts.
         """
         self._hosts = names
         for deployment in self.schedulers:
-            self.apply(deployment, "set_hosts", names)
+            self.call_scheduler(deployment, "set_hosts", names)
 
     def tick(self):
-        """Have the schedulers look again at what waits."""
+        """Make every scheduler re-evaluate its waiting requests."""
         for deployment in self.schedulers:
-            self.apply(deployment, "tick")
+            self.call_scheduler(deployment, "tick")
 
     def set_document(self, document):
-        """Take over a configuration: new, changed and withdrawn deployments.
+        """Apply a configuration: add, change and withdraw deployments.
 
         Parameters
         ----------
@@ -126,15 +126,15 @@
             self.schedulers[name] = Scheduler(
                 policy, self._host, self._zone, seed, self._quarantine
             )
-            self.apply(name, "set_hosts", self._hosts)
+            self.call_scheduler(name, "set_hosts", self._hosts)
         for name in list(self.schedulers):
             if name not in sections:
-                # Running requests keep their scheduler through their tickets' calls
-                # failing softly; new ones are refused as unknown.
-                self.apply(name, "set_endpoints", [])
+                # The scheduler of a withdrawn deployment stays, without endpoints,
+                # for its running requests; new requests are refused as unknown.
+                self.call_scheduler(name, "set_endpoints", [])
 
     def submit(self, deployment, request):
-        """Hand a request to its scheduler.
+        """Submit a request to its deployment's scheduler.
 
         Parameters
         ----------
@@ -149,15 +149,15 @@
         """
         ticket = Ticket(request.request_id, deployment, asyncio.Queue())
         self._tickets[request.request_id] = ticket
-        self.apply(deployment, "submit", request)
+        self.call_scheduler(deployment, "submit", request)
         return ticket
 
-    def forget(self, ticket):
-        """Drop a ticket whose request has had its final answer."""
+    def discard(self, ticket):
+        """Drop the ticket of a request that has its final answer."""
         self._tickets.pop(ticket.request_id, None)
 
-    def apply(self, deployment, method, *arguments):
-        """Call a scheduler and carry out what it decides.
+    def call_scheduler(self, deployment, method, *arguments):
+        """Call a method of a scheduler and dispatch the actions that it returns.
 
         Parameters
         ----------
@@ -166,24 +166,24 @@
         method : str
             Name of the scheduler's method, which takes ``now_s`` first.
         *arguments
-            The other arguments.
+            Arguments after ``now_s``.
         """
         scheduler = self.schedulers.get(deployment)
         if scheduler is None:
             return
         actions = getattr(scheduler, method)(self._clock(), *arguments)
         for action in actions or ():
-            self._hand_out(action)
+            self._queue_action(action)
         self._set_timer(deployment, scheduler)
 
     def close(self):
-        """Stop the timers."""
+        """Cancel the timers."""
         for timer in self._timers.values():
             timer.cancel()
         self._timers.clear()
 
-    def _hand_out(self, action):
-        """Give an action to the request that waits for it."""
+    def _queue_action(self, action):
+        """Queue an action for the request that it concerns."""
         if not isinstance(action, Start | Refuse):
             raise TypeError(f"unknown action {action!r}")
         ticket = self._tickets.get(action.request_id)
@@ -191,7 +191,7 @@
             ticket.actions.put_nowait(action)
 
     def _set_timer(self, deployment, scheduler):
-        """Wake the scheduler when it next has something to decide."""
+        """Schedule a tick at the time for which the scheduler asks."""
         timer = self._timers.pop(deployment, None)
         if timer is not None:
             timer.cancel()
@@ -200,19 +200,19 @@
             return
         delay_s = max(0.0, wakeup_s - self._clock())
         self._timers[deployment] = asyncio.get_running_loop().call_later(
-            delay_s, self.apply, deployment, "tick"
+            delay_s, self.call_scheduler, deployment, "tick"
         )
 
 
 def create_request(request_id, call, now_s):
-    """Return the scheduler's view of a caller's request.
+    """Return the scheduler's representation of a caller's request.
 
     Parameters
     ----------
     request_id : str
         Unique id.
     call : ModelRequest
-        The checked request.
+        The validated request.
     now_s : float
         Arrival on the boot-time clock.
     """
--- a/libs/daemon/gypsumusher_daemon/endpoints.py
+++ b/libs/daemon/gypsumusher_daemon/endpoints.py
@@ -1,4 +1,4 @@
-"""What this host knows of the endpoints, and what it tells the schedulers of them."""
+"""The table of known endpoints, from which schedulers get their engines."""
 
 from typing import NamedTuple
 
@@ -7,8 +7,8 @@
 
 __all__ = ["EndpointEntry", "EndpointTable"]
 
-# Polls in a row without an answer after which an endpoint gets no new work. One lost
-# poll is common under load; three take 1.5 s at the default interval.
+# Consecutive polls without an answer after which an endpoint gets no new work. A
+# single lost poll is common under load; three take 1.5 s at the default interval.
 SILENT_POLLS_MAX = 3
 
 
@@ -20,7 +20,7 @@
     name, kind, group, address, zone, region : str
         As listed; ``group`` is the deployment or service.
     listed_leaving : bool
-        Whether the list says that it leaves.
+        Whether the list gives a state other than live.
     """
 
     name: str
@@ -33,17 +33,35 @@
 
 
 class EndpointTable:
-    """The endpoints, from the platform's list, their own reports, and peers.
+    """State of the endpoints, from the platform's list, their reports and peers.
 
-    An endpoint that leaves is learned from whichever says so first: the list, its own
-    report or refusal, or a peer that heard one of them.
+    An endpoint counts as leaving as soon as any source says so: the platform's list,
+    the endpoint's own report or refusal, or a peer that received one of these.
 
     Parameters
     ----------
     dispatcher : Dispatcher
-        Gets the engines of each deployment.
+        Receives the usable engines of each deployment.
     clock, log : callable
         Boot-time clock and structured log.
+
+    Attributes
+    ----------
+    entries : dict
+        Listed endpoints by name, as `EndpointEntry`.
+    roles, models, reports : dict
+        By engine, the role, the loaded models and the load report that the engine
+        last reported.
+    silent_polls : dict
+        By engine, number of polls in a row without an answer.
+    draining : dict
+        By engine, whether it last reported itself as draining.
+    crashed_s : dict
+        By engine, boot-time clock of its last crash.
+    silence_listeners : dict
+        By engine, functions called when it becomes silent.
+    crash_listeners : list
+        Functions called with the name of an engine that crashed.
     """
 
     def __init__(self, dispatcher, clock, log):
@@ -61,25 +79,25 @@
         self._clock = clock
         self._log = log
         self._drained = set()
-        self._told = {}
+        self._published = {}
 
     def set_membership(self, membership):
-        """Share what is seen here of leaving endpoints with the cell.
+        """Set the membership through which peers share leaving endpoints.
 
         Parameters
         ----------
         membership : Membership
-            Takes what the list and the endpoints say, and what peers heard.
+            Merges what the list, the endpoints and peers say of leaving endpoints.
         """
         self._membership = membership
 
     def set_listed(self, listed):
-        """Take over the platform's list.
+        """Replace the entries by those of the platform's list.
 
         Parameters
         ----------
         listed : list of ListedHost
-            Endpoints; entry hosts in it are passed over.
+            Listed processes; those other than engines and services are ignored.
         """
         entries = {}
         for item in listed:
@@ -90,12 +108,12 @@
         for name, entry in entries.items():
             old = self.entries.get(name)
             if old is None or old.address != entry.address:
-                # A replaced endpoint begins anew: what was seen of the one before it
-                # under this name says nothing of this one.
-                self._forget(name)
+                # A new address is a new endpoint: the state that its predecessor of
+                # the same name left does not apply to it.
+                self._drop_state(name)
         for name in list(self.entries):
             if name not in entries:
-                self._forget(name)
+                self._drop_state(name)
         self.entries = entries
         now_s = self._clock()
         for name, entry in entries.items():
@@ -105,7 +123,7 @@
         self.publish()
 
     def set_drained(self, document):
-        """Take over the endpoints that the configuration drains.
+        """Set the drained endpoints from the configuration.
 
         Parameters
         ----------
@@ -121,14 +139,14 @@
         self.publish()
 
     def on_report(self, report, models):
-        """Take over an engine's load report.
+        """Handle an engine's load report.
 
         Parameters
         ----------
         report : LoadReport
             The report.
         models : list of (str, str)
-            Models it has loaded, with versions.
+            Name and version of each model loaded on the engine.
         """
         name = report.endpoint
         changed = self.silent_polls.get(name, 0) >= SILENT_POLLS_MAX
@@ -146,16 +164,16 @@
             self.publish()
         entry = self.entries.get(name)
         if entry is not None:
-            self._dispatcher.apply(entry.group, "on_report", report)
+            self._dispatcher.call_scheduler(entry.group, "on_report", report)
 
     def on_draining(self, name):
-        """Note that an engine refused work because it is draining."""
+        """Mark an engine that refused work because it is draining."""
         self.draining[name] = True
         self._membership.on_source_report(self._clock(), name, ENDPOINT_SOURCE, True)
         self.publish()
 
-    def on_silence(self, name):
-        """Note that an engine didn't answer a poll."""
+    def on_poll_failed(self, name):
+        """Count a poll that an engine did not answer; log it as silent at the limit."""
         count = self.silent_polls.get(name, 0) + 1
         self.silent_polls[name] = count
         if count == SILENT_POLLS_MAX:
@@ -165,17 +183,17 @@
             self.publish()
 
     def on_crash(self, name, started_s):
-        """Note that an engine refuses connections after it had taken them.
+        """Handle the crash of an engine, which now refuses connections.
 
         Parameters
         ----------
         name : str
             The engine.
         started_s : float
-            When the attempt began that met the crash. Every attempt on a crashed
-            engine notices it, some of them late: one that began before a crash that
-            is known already tells of that same crash. Counted again, it would blame
-            the work that the restarted engine has taken since.
+            When the attempt that failed by the crash started. Every attempt on a
+            crashed engine detects the crash, some of them late: one that started
+            before a known crash reports that same crash. Counting it again would
+            make the requests suspect that the restarted engine runs by now.
         """
         if self.crashed_s.get(name, float("-inf")) >= started_s:
             return
@@ -186,30 +204,30 @@
             listener(name)
         self.publish()
 
-    def listen_for_silence(self, name, listener):
-        """Have a function called when an engine falls silent.
+    def add_silence_listener(self, name, listener):
+        """Register a function to be called when an engine becomes silent.
 
         Parameters
         ----------
         name : str
             The engine.
         listener : callable
-            Without arguments.
+            Called without arguments.
 
         Returns
         -------
         callable
-            Takes the listener back.
+            Removes the listener; takes no arguments.
         """
         listeners = self.silence_listeners.setdefault(name, set())
         listeners.add(listener)
 
-        def take_back():
+        def remove_listener():
             listeners.discard(listener)
             if not listeners and self.silence_listeners.get(name) is listeners:
                 del self.silence_listeners[name]
 
-        return take_back
+        return remove_listener
 
     def find(self, name):
         """Return an endpoint's entry, or None."""
@@ -221,9 +239,9 @@
         Parameters
         ----------
         kind : {"engine", "service"}
-            Which of the two.
+            Kind of the endpoints: engines of a deployment or replicas of a service.
         group : str
-            Its name.
+            Name of the deployment or service.
         """
         found = []
         for entry in self.entries.values():
@@ -241,30 +259,30 @@
         )
 
     def is_silent(self, name):
-        """Return whether an endpoint has stopped answering."""
+        """Return whether an endpoint missed `SILENT_POLLS_MAX` polls in a row."""
         return self.silent_polls.get(name, 0) >= SILENT_POLLS_MAX
 
     def publish(self):
-        """Tell each scheduler its engines, where that has changed."""
+        """Pass each scheduler its engines if they have changed."""
         engines = {name: [] for name in self._dispatcher.schedulers}
         for entry in self.entries.values():
             if entry.kind != "engine" or entry.group not in engines:
                 continue
             if entry.name not in self.roles:
-                # Until its first report nobody knows its role; the poll that brings
-                # it is at most one interval away.
+                # The role is unknown before the first report, which arrives within
+                # one poll interval.
                 continue
             leaving = self.is_leaving(entry) or self.is_silent(entry.name)
             role = self.roles[entry.name]
             engines[entry.group].append(Endpoint(entry.name, entry.zone, role, leaving))
         for group, endpoints in engines.items():
-            if self._told.get(group) == endpoints:
+            if self._published.get(group) == endpoints:
                 continue
-            self._told[group] = endpoints
-            self._dispatcher.apply(group, "set_endpoints", endpoints)
+            self._published[group] = endpoints
+            self._dispatcher.call_scheduler(group, "set_endpoints", endpoints)
 
-    def _forget(self, name):
-        """Drop what was learned of an endpoint."""
+    def _drop_state(self, name):
+        """Drop the state of an endpoint."""
         for table in (
             self.roles,
             self.models,
--- a/libs/daemon/gypsumusher_daemon/engine_responses.py
+++ b/libs/daemon/gypsumusher_daemon/engine_responses.py
@@ -1,4 +1,4 @@
-"""Checks that an engine's answer is whole and is the answer to this attempt."""
+"""Checks that an engine's answer is complete and belongs to the attempt."""
 
 import json
 from typing import Any, NamedTuple
@@ -8,12 +8,12 @@
 __all__ = [
     "AnswerProblem",
     "StreamChecker",
-    "WholeAnswer",
-    "check_whole_answer",
+    "CompleteAnswer",
+    "check_complete_answer",
     "read_engine_refusal",
 ]
 
-# Codes with which an engine says that nothing of the request ran.
+# Error codes with which an engine refuses a request before running any of it.
 NOT_RUN_CODES = frozenset(
     {"draining", "kv_unavailable", "no_model", "overloaded", "wrong_role"}
 )
@@ -25,10 +25,10 @@
     Parameters
     ----------
     reason : str
-        ``crossed`` for somebody else's answer, ``error`` for a broken one,
-        ``broken`` for a gap that a resume can fill.
+        ``crossed`` for the answer to another request, ``error`` for an invalid
+        answer, ``broken`` for a gap that resuming the stream can fill.
     detail : str
-        What was seen.
+        What is wrong with the answer, for logs.
     """
 
     def __init__(self, reason, detail):
@@ -37,17 +37,17 @@
         self.detail = detail
 
 
-class WholeAnswer(NamedTuple):
-    """A complete answer that came as one JSON body.
+class CompleteAnswer(NamedTuple):
+    """A complete answer that was not streamed.
 
     Attributes
     ----------
     body : dict
         The parsed answer.
     output_tokens : int
-        Tokens of the answer, as the engine counts them.
+        Tokens of the answer, as counted by the engine.
     kv : dict or None
-        Where its KV cache can be fetched, after a prefill.
+        Where the KV cache can be fetched, after a prefill.
     """
 
     body: dict[str, Any]
@@ -55,28 +55,28 @@
     kv: dict[str, Any] | None
 
 
-def check_whole_answer(raw, attempt, tokens_max):
-    """Check a JSON answer.
+def check_complete_answer(raw, attempt, tokens_max):
+    """Check and parse an answer that was not streamed.
 
     Parameters
     ----------
     raw : bytes
-        The whole body.
+        The complete body.
     attempt : str
-        The request id that this attempt carried.
+        The request id that was sent with the attempt.
     tokens_max : int
-        More tokens than this are no answer to this request.
+        Most tokens that the answer may have.
 
     Returns
     -------
-    WholeAnswer
+    CompleteAnswer
 
     Raises
     ------
     AnswerProblem
-        ``crossed`` when it answers another attempt: engines behind a confused
-        connection pool have sent one caller's letter to another, so the id that we
-        gave must stand in the answer. ``error`` when it isn't complete.
+        ``crossed`` when the answer does not carry the attempt's id: engines behind a
+        faulty connection pool have sent one caller's answer to another. ``error``
+        when the answer is invalid or incomplete.
     """
     try:
         body = json.loads(raw)
@@ -91,16 +91,18 @@
         raise AnswerProblem("error", "answer has no choices")
     for choice in choices:
         if not isinstance(choice, dict) or choice.get("finish_reason") is None:
-            raise AnswerProblem("error", "answer has no finish_reason: it is cut")
+            raise AnswerProblem("error", "answer is truncated: no finish_reason")
     usage = body.get("usage") or {}
     output_tokens = int(usage.get("completion_tokens") or 0)
     if output_tokens > tokens_max:
-        raise AnswerProblem("error", f"{output_tokens} tokens, over {tokens_max}")
-    return WholeAnswer(body, output_tokens, body.get("kv"))
+        raise AnswerProblem(
+            "error", f"answer has {output_tokens} tokens, limit {tokens_max}"
+        )
+    return CompleteAnswer(body, output_tokens, body.get("kv"))
 
 
 def read_engine_refusal(raw):
-    """Return the code of an engine's error body, or an empty text.
+    """Return the error code in an engine's error body, or an empty string.
 
     Parameters
     ----------
@@ -114,52 +116,53 @@
 
 
 class StreamChecker:
-    """Passes on the events of one attempt, each once and in order.
+    """Checks the events of a stream and returns each once and in order.
 
     Parameters
     ----------
     attempt : str
-        The request id that this attempt carried.
+        The request id that was sent with the attempt.
     events_max : int
-        More events than this are no answer to this request.
+        Most events that the stream may have.
     after : int
-        Number of the last event that the caller has.
+        Number of the last event that the caller already has.
 
     Attributes
     ----------
     last_id : int
-        Number of the last event passed on.
+        Number of the last event accepted.
     events : int
-        Events passed on here.
+        Count of the events accepted by this checker.
     done : bool
-        Whether the end marker has come.
+        Whether the end marker has been received.
     """
 
     def __init__(self, attempt, events_max, after=0):
         self.last_id = after
         self.events = 0
         self.done = False
-        self._mark = f'-{attempt}"'.encode()
+        self._id_suffix = f'-{attempt}"'.encode()
         self._events_max = events_max
         self._splitter = EventSplitter()
 
     def restart(self):
-        """Forget a half event: the stream is taken up on another connection."""
+        """Drop an incomplete event before the stream continues on a new connection."""
         self._splitter = EventSplitter()
 
     def feed(self, data):
-        """Return the bytes of the next whole events, in order.
+        """Return the bytes of the next complete events, in order.
 
         Parameters
         ----------
         data : bytes
-            What came from the engine.
+            Bytes received from the engine.
 
         Raises
         ------
         AnswerProblem
-            ``crossed`` for an event of another attempt, ``broken`` for a gap in the
-            numbers, ``error`` for a stream that doesn't end.
+            ``crossed`` for an event of another request, ``broken`` for a gap in the
+            event numbers, ``error`` for an event without a number, events after the
+            end marker, or more events than ``events_max``.
         """
         accepted = []
         for event in self._splitter.feed(data):
@@ -170,22 +173,22 @@
                     continue
                 raise AnswerProblem("error", "an event has no number")
             if event.event_id <= self.last_id:
-                # A resumed stream may begin with what the caller has already.
+                # A resumed stream may start with events that the caller already has.
                 continue
             if event.event_id != self.last_id + 1:
                 raise AnswerProblem(
                     "broken", f"event {event.event_id} follows {self.last_id}"
                 )
-            if not event.done and self._mark not in event.raw:
+            if not event.done and self._id_suffix not in event.raw:
                 raise AnswerProblem("crossed", "an event carries another id")
-            self._take(event)
+            self._accept(event)
             accepted.append(event.raw)
         return b"".join(accepted)
 
-    def _take(self, event):
-        """Count an event."""
+    def _accept(self, event):
+        """Record an accepted event; raise AnswerProblem when there are too many."""
         self.last_id = event.event_id
         self.done = event.done
         self.events += 1
         if self.events > self._events_max:
-            raise AnswerProblem("error", f"more than {self._events_max} events")
+            raise AnswerProblem("error", f"stream exceeds {self._events_max} events")
--- a/libs/daemon/gypsumusher_daemon/engine_sessions.py
+++ b/libs/daemon/gypsumusher_daemon/engine_sessions.py
@@ -1,4 +1,4 @@
-"""HTTP sessions to engines, with every limit of the library set on purpose."""
+"""HTTP client sessions for calls to endpoints."""
 
 import asyncio
 
@@ -8,34 +8,37 @@
 
 __all__ = ["EngineSessions"]
 
+# Time limit of a probe and of a request to cancel a stream.
 PROBE_TIMEOUT_S = 2.0
-# Questions to an engine that drops the connection without an answer, and the pause
-# before the first repeat, which doubles: 0.6 s in all. A process that dies closes its
-# listener some milliseconds after its connections, 20 ms and more on a busy machine.
-DYING_PROBES = 5
-DYING_PAUSE_S = 0.02
+# Probes of an engine that drops the connection without an answer, and the pause
+# after the first, which doubles: 0.6 s in all. A dying process closes its listener
+# some milliseconds after its connections, 20 ms or more on a busy machine.
+CRASH_PROBES_MAX = 5
+CRASH_PROBE_PAUSE_S = 0.02
 READ_BUFFER_BYTES = 65_536
+# An idle connection of the shared session is closed after this.
 KEEPALIVE_S = 30.0
 
 
 class EngineSessions:
-    """The sessions by which this host talks to endpoints.
+    """The HTTP sessions of this host for calls to endpoints and to other hosts.
 
     Parameters
     ----------
     connect_timeout_s : float
         Longest wait for a connection.
     silence_s : float
-        Longest silence within an answer.
+        Longest time between two reads of an answer.
 
     Attributes
     ----------
     shared : aiohttp.ClientSession
-        Keeps connections alive, for work that may be repeated.
+        Reuses connections; for requests that may be repeated.
     fresh : aiohttp.ClientSession
-        A new connection for each request. A kept-alive one may have been closed
-        before the endpoint read our request, which can't be told from a request
-        that ran; where a request may run once only, its outcome would be unknown.
+        Opens a connection for each request. A kept-alive connection may be closed
+        before the endpoint reads the request, which can't be told from a request
+        that ran: the outcome of a request that must run at most once would be
+        unknown.
     """
 
     def __init__(self, connect_timeout_s, silence_s):
@@ -47,8 +50,8 @@
 
     async def start(self):
         """Open the sessions."""
-        self.shared = self._session(force_close=False)
-        self.fresh = self._session(force_close=True)
+        self.shared = self._create_session(force_close=False)
+        self.fresh = self._create_session(force_close=True)
 
     async def close(self):
         """Close the sessions and their connections."""
@@ -56,7 +59,7 @@
             if session is not None:
                 await session.close()
 
-    def _session(self, force_close):
+    def _create_session(self, force_close):
         """Return a session without the library's limits on time and connections."""
         extra = {} if force_close else {"keepalive_timeout": KEEPALIVE_S}
         connector = aiohttp.TCPConnector(limit=0, force_close=force_close, **extra)
@@ -71,8 +74,8 @@
         forbid_repeats(session)
         return session
 
-    async def answers(self, address):
-        """Return whether an engine still takes connections.
+    async def accepts_connections(self, address):
+        """Return whether an engine still accepts connections.
 
         Parameters
         ----------
@@ -81,16 +84,15 @@
 
         Notes
         -----
-        Tells a crash from a broken connection. Only a refused connection counts as
-        a crash: an engine that is slow to answer is no proof that it has gone.
+        Distinguishes a crash from a lost connection. Only a refused connection counts
+        as a crash; a slow answer does not prove one.
 
-        Failure guarded against: the engine is asked in the moment in which its
-        process ends, and its listener, which goes last, still takes the connection.
-        It shows as a request that crashes engine after engine and is never
-        convicted. Asked again, the engine refuses.
+        A dropped connection is probed again: when the process of an engine ends, its
+        listener closes last and may still accept a probe. Taking that for a sign of
+        life would leave a request that crashes engine after engine unconvicted.
         """
-        pause_s = DYING_PAUSE_S
-        for _ in range(DYING_PROBES):
+        pause_s = CRASH_PROBE_PAUSE_S
+        for _ in range(CRASH_PROBES_MAX):
             try:
                 await self._probe(address)
             except TimeoutError:
@@ -107,7 +109,7 @@
         return True
 
     async def responds(self, address):
-        """Return whether an engine answers a question now.
+        """Return whether an engine answers a load request now.
 
         Parameters
         ----------
@@ -121,7 +123,7 @@
         return True
 
     async def _probe(self, address):
-        """Ask an engine for its load on a new connection."""
+        """Request an engine's load over a new connection."""
         timeout = aiohttp.ClientTimeout(total=PROBE_TIMEOUT_S)
         async with self.fresh.get(
             f"http://{address}/load", timeout=timeout
@@ -129,14 +131,14 @@
             await response.read()
 
     async def cancel(self, address, stream_id):
-        """Ask an engine to stop a stream that nobody will read.
+        """Cancel a stream on an engine; failures are ignored.
 
         Parameters
         ----------
         address : str
             ``IP:PORT``.
         stream_id : str
-            The stream.
+            The stream; nothing is done when it is empty.
         """
         if not stream_id:
             return
@@ -146,5 +148,5 @@
             async with self.fresh.delete(url, timeout=timeout) as response:
                 await response.read()
         except (aiohttp.ClientError, TimeoutError, OSError):
-            # The engine's own retention ends the stream.
+            # The engine drops the stream after its own retention time.
             return
--- a/libs/daemon/gypsumusher_daemon/errors.py
+++ b/libs/daemon/gypsumusher_daemon/errors.py
@@ -1,4 +1,4 @@
-"""The daemon's exceptions: all that a user can cause come from one family."""
+"""The daemon's exceptions; those that a user can cause derive from GypsumusherError."""
 
 from gypsumusher_ports import GypsumusherError, StartError
 
@@ -6,4 +6,4 @@
 
 
 class SettingsError(GypsumusherError):
-    """The settings file can't be used; the message names each problem and its mend."""
+    """The settings file is invalid; the message gives each problem and its remedy."""
--- a/libs/daemon/gypsumusher_daemon/forwarding.py
+++ b/libs/daemon/gypsumusher_daemon/forwarding.py
@@ -1,10 +1,10 @@
-"""Passes a keyed request on to its home, the one host that may run it."""
+"""Forwards a keyed request to its key's owner, the only host that may run it."""
 
 import aiohttp
 
 from gypsumusher_daemon.refusals import Refusal
 
-__all__ = ["FORWARDED_HEADER", "Forwarder", "broken_forward"]
+__all__ = ["FORWARDED_HEADER", "Forwarder", "lost_forward_refusal"]
 
 FORWARDED_HEADER = "Gypsumusher-Forwarded"
 DROPPED_RESPONSE_HEADERS = frozenset(
@@ -16,15 +16,15 @@
 
 
 class Forwarder:
-    """Sends a request once to another entry host and relays its answer.
+    """Sends a request once to another entry host and relays the answer.
 
     Parameters
     ----------
     host : str
-        This host.
+        Name of this host.
     sessions : EngineSessions
-        Its session of fresh connections: a reused one may break after the home has
-        read the request, which couldn't be told from one that it never got.
+        Its ``fresh`` session is used: a reused connection may be lost after the
+        owner read the request, which can't be told from a request that it never got.
     """
 
     def __init__(self, host, sessions):
@@ -32,26 +32,26 @@
         self._sessions = sessions
 
     async def forward(self, address, method, target, headers, body, delivery):
-        """Forward a request and deliver the home's answer.
+        """Forward a request and deliver the owner's answer.
 
         Parameters
         ----------
         address : str
-            ``IP:PORT`` of the home's callers' listener.
+            ``IP:PORT`` of the owner's listener for callers.
         method, target : str
-            The request line's.
+            Method and target of the request line.
         headers : iterable of (str, str)
             The caller's headers.
         body : bytes
             The body.
         delivery : Delivery
-            Where the answer goes.
+            Receives the answer.
 
         Returns
         -------
         bool
-            False when the home couldn't be reached, so that no byte of the request
-            went out. True otherwise; the delivery is closed then.
+            False when there was no connection to the owner, so no byte of the request
+            was sent. True otherwise; the delivery is closed then.
         """
         sent_headers = [
             (name, value)
@@ -70,31 +70,32 @@
         except (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError):
             return False
         except (aiohttp.ClientError, TimeoutError, OSError):
-            delivery.close(whole=False)
+            delivery.close(complete=False)
             return True
         try:
-            kept = {
+            headers_kept = {
                 name: value
                 for name, value in response.headers.items()
                 if name.lower() not in DROPPED_RESPONSE_HEADERS
             }
-            delivery.set_head(response.status, kept)
+            delivery.set_head(response.status, headers_kept)
             async for chunk in response.content.iter_any():
                 await delivery.put(chunk)
-            delivery.close(whole=True)
+            delivery.close(complete=True)
         except (aiohttp.ClientError, TimeoutError, OSError):
-            delivery.close(whole=False)
+            delivery.close(complete=False)
         finally:
             response.close()
         return True
 
 
-def broken_forward(home):
-    """Return the refusal for a forward that broke before an answer came."""
+def lost_forward_refusal(owner):
+    """Return the refusal for a forward whose connection was lost before an answer."""
     return Refusal(
         "key_unknown_outcome",
-        "the key's home broke off; ask for the key's outcome, or send it again",
+        "the connection to the key's owner was lost; ask for the key's outcome, or "
+        "send it again",
         run="unknown",
         step="forward",
-        peer=home,
+        peer=owner,
     )
--- a/libs/daemon/gypsumusher_daemon/host.py
+++ b/libs/daemon/gypsumusher_daemon/host.py
@@ -1,4 +1,4 @@
-"""One entry host: owns its parts, starts them in order, closes them in turn."""
+"""The entry host: creates its components, starts them and stops them in order."""
 
 import asyncio
 import random
@@ -19,17 +19,17 @@
 from gypsumusher_daemon.hosts_directory import HostRecord, HostsDirectory
 from gypsumusher_daemon.journals import Journals, journal_policy, new_incarnation
 from gypsumusher_daemon.keyed_requests import KeyedRequests
-from gypsumusher_daemon.keyed_routing import KeyedFlow
+from gypsumusher_daemon.keyed_routing import KeyedRouter
 from gypsumusher_daemon.metrics import Metrics
 from gypsumusher_daemon.operator_routes import create_operators_app
-from gypsumusher_daemon.peer_messages import PeerNews
-from gypsumusher_daemon.peer_network import LEAVING, LIVE, SUSPECT, Cell
+from gypsumusher_daemon.peer_messages import PeerMessages
+from gypsumusher_daemon.peer_network import LEAVING, LIVE, SUSPECT, PeerNetwork
 from gypsumusher_daemon.readiness import STARTING, STOPPED, Readiness
 from gypsumusher_daemon.report_poller import ReportPoller
-from gypsumusher_daemon.request_execution import ExchangeContext
-from gypsumusher_daemon.request_history import RequestsLog
-from gypsumusher_daemon.request_runner import RequestFlows
-from gypsumusher_daemon.service_requests import ServiceFlow
+from gypsumusher_daemon.request_execution import ExecutionContext
+from gypsumusher_daemon.request_history import RequestHistory
+from gypsumusher_daemon.request_runner import RequestRunner
+from gypsumusher_daemon.service_requests import ServiceRequests
 from gypsumusher_daemon.services import Services
 from gypsumusher_daemon.stewards import Stewards
 from gypsumusher_objects import BudgetLimits, CallBudget, PlatformClient
@@ -39,9 +39,13 @@
 
 __all__ = ["EntryHost"]
 
+# Interval at which a planned stop checks whether it can continue.
 STOP_POLL_S = 0.05
+# A planned stop waits this long for its journal to be sealed. Without a seal the
+# next host that needs one of its keys seals the journal.
 SEAL_TIMEOUT_S = 5.0
 LISTEN_BACKLOG = 1024
+# Settings that a reload changes; any other needs a restart.
 RELOADED_SETTINGS = frozenset({"operators.token", "peers.keys"})
 
 
@@ -51,7 +55,7 @@
     Parameters
     ----------
     settings : dict
-        Checked settings.
+        Validated settings.
     log : callable
         Structured log.
 
@@ -70,16 +74,16 @@
         self.incarnation = new_incarnation()
         self.state = STARTING
         self.metrics = Metrics()
-        self.history = RequestsLog()
+        self.history = RequestHistory()
         self.quarantine = Quarantine(EVALUATION_DELAY_S)
         self.tasks = set()
         self.servers = []
         self._loops = []
         self._addresses = {}
-        self._create_parts()
+        self._create_components()
 
-    def _create_parts(self):
-        """Create the parts, none of which does anything yet."""
+    def _create_components(self):
+        """Create the components without starting any."""
         settings, log, clock = self.settings, self.log, self.clock
         limits = BudgetLimits(
             writes_per_s=settings["platform.writes_per_s"],
@@ -98,7 +102,7 @@
         )
         self.dispatcher = Dispatcher(self.name, self.zone, clock, self.quarantine)
         self.endpoints = EndpointTable(self.dispatcher, clock, log)
-        self.reports = ReportPoller(
+        self.report_poller = ReportPoller(
             self.sessions,
             self.endpoints,
             self.dispatcher,
@@ -110,25 +114,25 @@
         self.directory = HostsDirectory(
             self.client, log, settings["platform.watch_s"], self._on_hosts_changed
         )
-        self.news = PeerNews(self)
-        self.cell = Cell(
+        self.peer_messages = PeerMessages(self)
+        self.peer_network = PeerNetwork(
             settings,
             self.keys,
             self.directory,
             clock,
             log,
-            self.news.parts(),
+            self.peer_messages.handlers(),
         )
-        self.crashing = CrashingRequests(
+        self.crashing_requests = CrashingRequests(
             self.quarantine,
             self.client,
             clock,
             log,
-            self.cell.tell_all,
+            self.peer_network.broadcast,
             self.track,
             self.dispatcher.tick,
         )
-        self.endpoints.crash_listeners.append(self.crashing.on_crash)
+        self.endpoints.crash_listeners.append(self.crashing_requests.on_crash)
         self.configuration = Configuration(
             self.name,
             self.client,
@@ -136,10 +140,10 @@
             log,
             settings["platform.watch_s"],
             self._on_adopted,
-            self.news.section_from_peers,
+            self.peer_messages.fetch_section,
         )
-        self.abandoned = AbandonedStreams(self.sessions, log)
-        self.context = ExchangeContext(
+        self.abandoned_streams = AbandonedStreams(self.sessions, log)
+        self.context = ExecutionContext(
             host=self.name,
             keys=list(settings["peers.keys"]),
             clock=clock,
@@ -151,15 +155,15 @@
             history=self.history,
             quarantine=self.quarantine,
         )
-        self._create_keyed_parts()
+        self._create_keyed_components()
         self.services = Services(self.sessions, self.endpoints, self.zone, clock, log)
-        self.service_flow = ServiceFlow(self.name, self.services, self.track)
+        self.service_requests = ServiceRequests(self.name, self.services, self.track)
         self.stewards = Stewards(self)
         self.readiness = Readiness(self)
-        self.flows = RequestFlows(self)
+        self.request_runner = RequestRunner(self)
 
-    def _create_keyed_parts(self):
-        """Create what serves requests that run at most once."""
+    def _create_keyed_components(self):
+        """Create the components that serve keyed requests."""
         settings = self.settings
         self.journals = Journals(
             self.name,
@@ -171,38 +175,38 @@
             self.context.keys,
             self._on_new_incarnation,
         )
-        self.keyed = KeyedRequests(
+        self.keyed_requests = KeyedRequests(
             self.journals,
             self.clock,
             settings["journal.retention_s"],
             settings["journal.answers_bytes"],
         )
-        self.keyed_flow = KeyedFlow(
+        self.keyed_router = KeyedRouter(
             self.name,
             self.journals,
-            self.keyed,
+            self.keyed_requests,
             self.directory,
             Forwarder(self.name, self.sessions),
             self.sessions,
-            lambda name: self.cell.state(name) == SUSPECT,
+            lambda name: self.peer_network.state(name) == SUSPECT,
             self.log,
         )
 
-    # Life
+    # Start, reload and stop
 
     def reload(self, settings):
-        """Take over the settings that can change while the host runs.
+        """Apply the settings that can change while the host runs.
 
         Parameters
         ----------
         settings : dict
-            Checked settings, read anew.
+            Validated settings from the reloaded file.
 
         Notes
         -----
         Secrets must be replaceable without a stop, so the peers' keys and the
-        operators' token change at once. Everything else needs a restart and is named
-        in the log, so that nobody takes it for changed.
+        operators' token change at once. Any other changed setting needs a restart and
+        is logged, so that operators do not take it for applied.
         """
         ignored = []
         for key, value in settings.items():
@@ -218,13 +222,13 @@
         self.log("info", "settings_reloaded", needs_restart=",".join(ignored) or None)
 
     async def start(self):
-        """Start all parts; return the bound addresses by listener."""
+        """Start all components; return the bound address of each listener."""
         settings = self.settings
         await self.client.start()
         await self.sessions.start()
         await self.journals.start()
-        peers_port = await self.cell.start(self.name, self.incarnation)
-        self.endpoints.set_membership(self.cell.membership)
+        peers_port = await self.peer_network.start(self.name, self.incarnation)
+        self.endpoints.set_membership(self.peer_network.membership)
         callers = await self._listen(create_callers_app(self), "callers")
         operators = await self._listen(create_operators_app(self), "operators")
         self._addresses = {
@@ -235,53 +239,54 @@
         self.directory.publish(self.record())
         await self.directory.start()
         await self.configuration.start()
-        self._loops.append(asyncio.ensure_future(self._follow_list()))
-        self._loops.append(asyncio.ensure_future(self.news.find_seeds()))
-        self._loops.append(asyncio.ensure_future(self.crashing.load()))
+        self._loops.append(asyncio.ensure_future(self._poll_endpoint_list()))
+        self._loops.append(asyncio.ensure_future(self.peer_messages.contact_seeds()))
+        self._loops.append(asyncio.ensure_future(self.crashing_requests.load()))
         self._on_hosts_changed()
         await self.stewards.start()
         self.state = LIVE
         return dict(self._addresses)
 
     async def stop(self):
-        """Stop as planned: nothing that runs is cut.
+        """Stop as planned, without aborting running requests.
 
         Notes
         -----
-        Callers keep an answer of ``/v1/entry`` for its ``max_age_s``. So this host
-        first leaves those answers, here and on its peers, then serves on for that
-        time, and only then refuses new work and waits for what runs.
+        Callers cache an answer of ``/v1/entry`` for its ``max_age_s``. So this host
+        is first removed from those answers, here and on its peers, then keeps serving
+        for that time, and only then refuses new requests and waits for running ones,
+        for at most the setting ``stop.grace_s``.
         """
         if self.state in (LEAVING, STOPPED):
             return
         self.state = LEAVING
-        self.cell.set_leaving()
+        self.peer_network.set_leaving()
         self.log("info", "stop_began", running=len(self.tasks))
         await self.stewards.release()
-        await self.cell.gossip_now()
+        await self.peer_network.gossip_now()
         await self.directory.withdraw()
-        await self._wait_out(self.settings["callers.entry_max_age_s"])
+        await self._serve_while_cached(self.settings["callers.entry_max_age_s"])
         self.state = STOPPED
         end_s = self.clock() + self.settings["stop.grace_s"]
         while self._running() and self.clock() < end_s:
             await asyncio.sleep(STOP_POLL_S)
-        self.keyed.give_up_unsent()
+        self.keyed_requests.finish_unsent()
         sealed = await self.journals.seal_own(SEAL_TIMEOUT_S)
         self.log("info", "stop_done", running=self._running(), sealed=sealed)
         await self.close()
 
     async def close(self):
-        """Close all parts at once."""
+        """Cancel all tasks and close all components."""
         self.state = STOPPED
         for task in [*self._loops, *self.tasks]:
             task.cancel()
         await asyncio.gather(*self._loops, *self.tasks, return_exceptions=True)
         await self.stewards.close()
-        await self.abandoned.close()
-        await self.reports.close()
+        await self.abandoned_streams.close()
+        await self.report_poller.close()
         await self.configuration.close()
         await self.directory.close()
-        await self.cell.close()
+        await self.peer_network.close()
         for server in self.servers:
             await server.close()
         await self.journals.close()
@@ -290,10 +295,10 @@
         await self.client.close()
 
     async def _listen(self, app, listener):
-        """Serve an app without worker processes; return its address."""
+        """Serve an app in this process; return the bound address."""
         address = self.settings[f"{listener}.address"]
-        # The library reads port 0 as "no port given" and takes 8000 instead, so it
-        # gets a bound socket.
+        # Sanic takes port 0 for "no port given" and uses 8000, so it gets a socket
+        # that is already bound.
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         sock.bind((address, self.settings[f"{listener}.port"]))
@@ -307,14 +312,14 @@
         self.servers.append(server)
         return f"{address}:{sock.getsockname()[1]}"
 
-    async def _wait_out(self, wait_s):
-        """Wait on, so that callers who know this host still get in."""
+    async def _serve_while_cached(self, wait_s):
+        """Wait while callers with a cached ``/v1/entry`` answer are still served."""
         end_s = self.clock() + wait_s
         while self.clock() < end_s:
             await asyncio.sleep(min(STOP_POLL_S, wait_s))
 
     def _running(self):
-        """Number of requests and answers that are not finished."""
+        """Return the number of unfinished requests and unsent answers."""
         sending = 0
         for connection in self.servers[0].connections:
             if is_busy(connection):
@@ -322,7 +327,7 @@
         return len(self.tasks) + sending
 
     def track(self, task):
-        """Keep a task until it is done."""
+        """Hold a reference to a task until it is done; return the task."""
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
         return task
@@ -338,57 +343,57 @@
         )
 
     def _on_new_incarnation(self, incarnation):
-        """Publish the home that new keys name."""
+        """Publish the new incarnation, which owns the keys minted from now on."""
         self.incarnation = incarnation
         if self.state == LIVE:
             self.directory.publish(self.record())
 
-    # What comes from the platform and from peers
+    # Updates from the platform and from peers
 
-    async def _follow_list(self):
-        """Read the platform's list of endpoints again and again."""
+    async def _poll_endpoint_list(self):
+        """Poll the platform's list of endpoints, until cancelled."""
         while True:
             result = await self.client.hosts()
             if isinstance(result, Success):
                 self.endpoints.set_listed(result.unwrap())
-                self.reports.follow_list()
-            # Spread, so that hosts which lost the platform don't come back in step.
+                self.report_poller.update_tasks()
+            # Jitter: hosts that lost the platform together must not retry together.
             await asyncio.sleep(
                 self.settings["platform.poll_s"] * random.uniform(0.8, 1.2)
             )
 
     def _on_adopted(self, number, document):
-        """Put a configuration in force."""
+        """Apply an adopted configuration to all components."""
         self.metrics.config.set({}, number)
         self.dispatcher.set_document(document)
         self.endpoints.set_drained(document)
-        self.cell.follow_directory()
-        self.dispatcher.set_hosts(self.cell.members)
-        self._choose_deployments()
+        self.peer_network.update_links()
+        self.dispatcher.set_hosts(self.peer_network.members)
+        self._update_polled_deployments()
         self.endpoints.publish()
 
     def _on_hosts_changed(self):
-        """Follow the hosts that have come or gone."""
-        self.cell.follow_directory()
-        self.dispatcher.set_hosts(self.cell.members)
-        self._choose_deployments()
+        """Update links, schedulers and polling after a change of the host records."""
+        self.peer_network.update_links()
+        self.dispatcher.set_hosts(self.peer_network.members)
+        self._update_polled_deployments()
 
-    def _choose_deployments(self):
-        """Follow the engines of the deployments that this host serves."""
+    def _update_polled_deployments(self):
+        """Poll the engines of the deployments whose cell this host belongs to."""
         if self.document is None:
             return
         hosts = self.hosts_with_self()
         own = own_deployments(self.document, hosts, self.name)
-        self.reports.set_deployments(own)
+        self.report_poller.set_deployments(own)
 
     def hosts_with_self(self):
-        """Return (name, zone) of the live hosts, this one among them."""
-        hosts = dict(self.cell.live_hosts())
+        """Return (name, zone) of the live hosts, including this one."""
+        hosts = dict(self.peer_network.live_hosts())
         hosts[self.name] = self.zone
         return list(hosts.items())
 
     @property
-    def number(self):
+    def config_number(self):
         """Number of the configuration in force."""
         return self.configuration.number
 
--- a/libs/daemon/gypsumusher_daemon/host_views.py
+++ b/libs/daemon/gypsumusher_daemon/host_views.py
@@ -1,4 +1,4 @@
-"""What this host shows: entry answers, models, status and a request's history."""
+"""Read-only views of a host: entry hosts, models, status and request history."""
 
 import time
 
@@ -9,12 +9,12 @@
 
 __all__ = ["entry_answer", "explain", "models_answer", "status"]
 
-# Hosts that are told to callers who name no deployment.
+# Size of the cell from which callers that name no deployment get their hosts.
 ENTRY_CELL_HOSTS = 8
 
 
 def entry_answer(host, arguments):
-    """Return the hosts that a caller should use."""
+    """Return the answer of ``/v1/entry``: the hosts that a caller should use."""
     hosts = _entry_hosts(host)
     deployment = arguments.get("deployment") or ""
     cell = cell_of(host.document or {}, hosts, deployment)
@@ -30,10 +30,10 @@
 
 
 def _entry_hosts(host):
-    """Return (name, zone) of the hosts that take new callers."""
+    """Return (name, zone) of the live hosts that are not drained."""
     drained = (host.document or {}).get("hosts", {}).get("drain", ())
     hosts = []
-    for name, zone in host.cell.live_hosts():
+    for name, zone in host.peer_network.live_hosts():
         if name in drained:
             continue
         if name == host.name and host.state != LIVE:
@@ -43,7 +43,7 @@
 
 
 def models_answer(host):
-    """Return the deployments in the form of a list of models."""
+    """Return the deployments as an OpenAI-style list of models."""
     created = int(time.time())
     data = []
     for name in sorted((host.document or {}).get("deployments", {})):
@@ -59,7 +59,7 @@
 
 
 def explain(host, request_id):
-    """Return what became of a request here, or None."""
+    """Return a request's events and scheduler decisions in order, or None."""
     events = host.history.find(request_id)
     if events is None:
         return None
@@ -70,7 +70,7 @@
 
 
 def status(host):
-    """Return this host's view of the fleet, for operators."""
+    """Return this host's view of hosts, endpoints and leases, for operators."""
     hosts = []
     for name, record in sorted(host.directory.records.items()):
         own = name == host.name
@@ -79,14 +79,18 @@
                 "name": name,
                 "zone": record.zone,
                 "incarnation": record.incarnation,
-                "state": _shown_state(host) if own else host.cell.state(name),
-                "config_number": host.number if own else host.cell.numbers.get(name, 0),
+                "state": _displayed_state(host)
+                if own
+                else host.peer_network.state(name),
+                "config_number": host.config_number
+                if own
+                else host.peer_network.config_numbers.get(name, 0),
             }
         )
     return {
         "host": host.name,
-        "state": _shown_state(host),
-        "config_number": host.number,
+        "state": _displayed_state(host),
+        "config_number": host.config_number,
         "platform": {
             "state": "up" if host.client.is_up() else "down",
             "calls": dict(host.client.calls),
@@ -98,13 +102,13 @@
     }
 
 
-def _shown_state(host):
-    """Return this host's state as operators know it."""
+def _displayed_state(host):
+    """Return this host's state, with stopped shown as leaving."""
     return LEAVING if host.state == STOPPED else host.state
 
 
 def _endpoint_rows(host):
-    """Return the endpoints as operators see them."""
+    """Return one row per endpoint for the status answer."""
     loads = {}
     for scheduler in host.dispatcher.schedulers.values():
         loads.update(scheduler.own_load())
--- a/libs/daemon/gypsumusher_daemon/hosts_directory.py
+++ b/libs/daemon/gypsumusher_daemon/hosts_directory.py
@@ -1,4 +1,4 @@
-"""The entry hosts that have published themselves on the platform."""
+"""The directory of entry hosts, kept as one record per host on the platform."""
 
 import asyncio
 import random
@@ -9,17 +9,19 @@
 __all__ = ["HOSTS_KIND", "HostRecord", "HostsDirectory"]
 
 HOSTS_KIND = "entryhosts"
+# Pause after the first failed call to the platform, doubled with each further one
+# up to the maximum.
 RETRY_S = 0.5
-RETRY_LIMIT_S = 5.0
+RETRY_MAX_S = 5.0
 
 
 class HostRecord(NamedTuple):
-    """What an entry host says of itself.
+    """The record that an entry host publishes.
 
     Attributes
     ----------
     name, incarnation, zone, region : str
-        Who and where it is.
+        Identity and location of the host.
     callers, operators, peers : str
         ``IP:PORT`` of its listeners.
     """
@@ -34,7 +36,7 @@
 
 
 class HostsDirectory:
-    """Follows the records of the entry hosts and publishes this host's own.
+    """Watches the records of the entry hosts and publishes this host's own.
 
     Parameters
     ----------
@@ -43,7 +45,7 @@
     log : callable
         Structured log.
     watch_s : float
-        Length of one waiting watch.
+        Time for which a watch call waits for a change.
     on_changed : callable
         Called after the records have changed.
     """
@@ -59,18 +61,18 @@
         self._tasks = []
 
     async def start(self):
-        """Begin to follow and to publish."""
-        self._tasks.append(asyncio.ensure_future(self._follow()))
-        self._tasks.append(asyncio.ensure_future(self._publish_on()))
+        """Start watching the records and publishing this host's own."""
+        self._tasks.append(asyncio.ensure_future(self._watch_loop()))
+        self._tasks.append(asyncio.ensure_future(self._publish_loop()))
 
     async def close(self):
-        """Stop both."""
+        """Stop watching and publishing."""
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
     def publish(self, record):
-        """Publish this host's record, as soon as the platform takes it.
+        """Publish this host's record, retrying until the platform accepts it.
 
         Parameters
         ----------
@@ -82,7 +84,7 @@
         self._publish_wanted.set()
 
     async def withdraw(self):
-        """Delete this host's record before a planned stop, if it can be done now."""
+        """Delete this host's record before a planned stop, without retrying."""
         own = self._own
         self._own = None
         if own is None:
@@ -90,34 +92,35 @@
         found = await self._client.read(HOSTS_KIND, own.name, urgent=True)
         stored = found.unwrap() if isinstance(found, Success) else None
         if stored is None or stored.value.get("incarnation") != own.incarnation:
-            # Another start under this name has published itself since.
+            # A newer process of this host has published its own record.
             return
         await self._client.delete(HOSTS_KIND, own.name, stored.version, urgent=True)
 
-    def learn(self, record, first_hand):
-        """Take a record that a peer has told; the platform's word replaces it.
+    def add_from_peer(self, record, is_own):
+        """Add a record received from a peer; records on the platform replace it.
 
         Parameters
         ----------
         record : HostRecord
-            The record of the peer, or of a host that it knows.
-        first_hand : bool
-            Whether the host itself told it. Hearsay may be older than what is known
-            here, and no change on the platform would come to correct it.
+            The record of the peer, or of a host that the peer knows.
+        is_own : bool
+            Whether the peer sent its own record. A record of a third host is taken
+            only if none is known here: it may be older than the known one, and
+            without a change on the platform nothing would correct it.
         """
-        known = self.records.get(record.name)
-        if known == record or (known is not None and not first_hand):
+        known_record = self.records.get(record.name)
+        if known_record == record or (known_record is not None and not is_own):
             return
         self.records[record.name] = record
         self._on_changed()
 
     async def remove(self, record):
-        """Delete the record of a host that has been silent for long.
+        """Delete the platform's record of a dead host.
 
         Parameters
         ----------
         record : HostRecord
-            The record as it is known here; a newer one stays.
+            The record known here; one of another incarnation is not deleted.
         """
         found = await self._client.read(HOSTS_KIND, record.name)
         stored = found.unwrap() if isinstance(found, Success) else None
@@ -126,14 +129,14 @@
         await self._client.delete(HOSTS_KIND, record.name, stored.version)
 
     def find_incarnation(self, incarnation):
-        """Return the record of the host that has an incarnation, or None."""
+        """Return the record with the given incarnation, or None."""
         for record in self.records.values():
             if record.incarnation == incarnation:
                 return record
         return None
 
-    async def _publish_on(self):
-        """Write this host's record whenever it has changed."""
+    async def _publish_loop(self):
+        """Write this host's record whenever it has changed, until cancelled."""
         failures = 0
         while True:
             await self._publish_wanted.wait()
@@ -143,10 +146,10 @@
                 continue
             failures += 1
             self._publish_wanted.set()
-            await asyncio.sleep(_pause_s(failures))
+            await asyncio.sleep(_retry_pause_s(failures))
 
     async def _write_own(self):
-        """Write the record; True when it stands."""
+        """Write the record; return True when the platform has it."""
         own = self._own
         value = own._asdict()
         value.pop("name")
@@ -162,8 +165,8 @@
         )
         return isinstance(written, Success)
 
-    async def _follow(self):
-        """List the records, then wait for their changes, for ever."""
+    async def _watch_loop(self):
+        """List the records, then watch them for changes, until cancelled."""
         revision = None
         failures = 0
         while True:
@@ -175,17 +178,17 @@
                 failures = 0
                 continue
             failures += 1
-            await asyncio.sleep(_pause_s(failures))
+            await asyncio.sleep(_retry_pause_s(failures))
 
     async def _list(self):
-        """Read all records; return the revision to watch from, or None."""
+        """Read all records; return the revision to watch from, or None on a failure."""
         result = await self._client.list(HOSTS_KIND, urgent=True)
         if not isinstance(result, Success):
             return None
         listing = result.unwrap()
         records = {}
         for item in listing.items:
-            self._take(records, item)
+            self._add_record(records, item)
         if self._own is not None:
             records[self._own.name] = self._own
         if records != self.records:
@@ -194,32 +197,32 @@
         return listing.revision
 
     async def _wait_for_change(self, revision):
-        """Wait for a change; return the revision to go on from, or None."""
+        """Watch for a change; return the next revision to watch from, or None."""
         result = await self._client.watch(HOSTS_KIND, revision, self._watch_s)
         if not isinstance(result, Success):
             return None
         change = result.unwrap()
         for item in change.items:
-            self._take(self.records, item)
+            self._add_record(self.records, item)
         for name in change.deleted:
             self.records.pop(name, None)
         if self._own is not None:
             self.records[self._own.name] = self._own
             if self._own.name in change.deleted:
-                # Others took this host for gone for good. It isn't.
+                # Other hosts took this one for dead and deleted its record.
                 self._publish_wanted.set()
         if change.items or change.deleted:
             self._on_changed()
         return max(revision, change.revision)
 
-    def _take(self, records, item):
-        """Take one record, if it is one."""
+    def _add_record(self, records, item):
+        """Parse a stored record and add it; log a malformed one."""
         try:
             records[item.name] = HostRecord(name=item.name, **item.value)
         except TypeError:
             self._log("warning", "host_record_malformed", name=item.name)
 
 
-def _pause_s(failures):
-    """Return a wait after failures, spread so that hosts don't come back in step."""
-    return min(RETRY_LIMIT_S, RETRY_S * 2 ** min(failures, 8)) * random.uniform(0.5, 1)
+def _retry_pause_s(failures):
+    """Return the pause after failures, with jitter so that hosts don't synchronize."""
+    return min(RETRY_MAX_S, RETRY_S * 2 ** min(failures, 8)) * random.uniform(0.5, 1)
--- a/libs/daemon/gypsumusher_daemon/journals.py
+++ b/libs/daemon/gypsumusher_daemon/journals.py
@@ -1,4 +1,4 @@
-"""The home journals of this process and the sealing of dead hosts' journals."""
+"""This process's claim journals, and the sealing of dead owners' journals."""
 
 import asyncio
 import secrets
@@ -14,34 +14,35 @@
     OwnJournalSealed,
     PeerJournalSealed,
 )
-from gypsumusher_daemon.key_signatures import is_genuine, sign_parts
+from gypsumusher_daemon.key_signatures import is_signed, sign_parts
 from gypsumusher_daemon.machine_runner import MachineRunner
 
 __all__ = ["Journals", "journal_policy", "new_incarnation"]
 
-# Waiting claims are looked at this often; well under a journal write's round trip.
+# Tick interval while claims or sealers are pending, well under the round trip of a
+# journal write, and while there are none.
 BUSY_TICK_S = 0.01
 IDLE_TICK_S = 1.0
+# Sealed journals of dead owners held in memory; the oldest is dropped first.
 SEALERS_MAX = 64
-# The platform is spared by the host's call budget, which backs off for all its calls
-# together; a second, longer wait on top would only keep callers waiting after an
-# outage has ended.
-BACKOFF_LIMIT_S = 0.5
+# The host's call budget already backs off for all calls to the platform together; a
+# longer backoff here would only keep callers waiting after an outage has ended.
+BACKOFF_MAX_S = 0.5
 INCARNATION_BYTES = 9
 
 
 def new_incarnation():
-    """Return a random id that no other start of any host has."""
+    """Return a random id for one start of a host process."""
     return secrets.token_hex(INCARNATION_BYTES)
 
 
 class Journals:
-    """Claims of idempotency keys, granted by a journal on the platform.
+    """Claims idempotency keys through journals stored on the platform.
 
     Parameters
     ----------
     host : str
-        This host.
+        Name of this host.
     incarnation : str
         Id of this start of the process.
     client : PlatformClient
@@ -53,12 +54,12 @@
     keys : list of KeySettings
         Shared secrets of the hosts, which sign minted keys.
     on_new_incarnation : callable
-        Called with the new id after a survivor has sealed this host out.
+        Called with the new id after another host has sealed this one's journal.
 
     Attributes
     ----------
     incarnation : str
-        The home that new keys name.
+        The current incarnation, which owns newly minted keys.
     """
 
     def __init__(
@@ -77,15 +78,15 @@
         self._sealed = asyncio.Event()
         self._sealers = {}
         self._task = None
-        self._claimed = asyncio.Event()
+        self._wakeup = asyncio.Event()
 
     async def start(self):
-        """Open the journal; its first write comes with the first claim."""
-        self._open(self.incarnation)
-        self._task = asyncio.ensure_future(self._tick_on())
+        """Open the journal and start ticking; the first claim makes the first write."""
+        self._open_journal(self.incarnation)
+        self._task = asyncio.ensure_future(self._tick_loop())
 
     async def close(self):
-        """Stop ticking and give up calls in flight."""
+        """Stop ticking and cancel calls in flight."""
         if self._task is not None:
             self._task.cancel()
             await asyncio.gather(self._task, return_exceptions=True)
@@ -97,7 +98,7 @@
 
     @property
     def journal(self):
-        """The journal of the present incarnation."""
+        """The journal of the current incarnation."""
         return self._runners[self.incarnation].machine
 
     def owns(self, incarnation):
@@ -105,12 +106,12 @@
         return incarnation in self._runners
 
     def mint(self, run_unjournaled):
-        """Return a new key that names this host as its home.
+        """Return a new signed key that names this incarnation as its owner.
 
         Parameters
         ----------
         run_unjournaled : bool
-            Whether the deployment runs such work while the platform is down.
+            Whether the deployment runs keyed requests while the platform is down.
         """
         is_down = not (self.journal.is_platform_reachable and self._client.is_up())
         unjournaled = run_unjournaled and is_down
@@ -118,7 +119,16 @@
         return self.journal.mint(sign_parts(parts, self._keys[0].secret), unjournaled)
 
     async def claim(self, incarnation, key, fingerprint):
-        """Wait for the licence to send the request that carries one of our keys.
+        """Claim a key that this process minted; wait for the journal's decision.
+
+        Parameters
+        ----------
+        incarnation : str
+            The incarnation of this process that owns the key.
+        key : str
+            The key.
+        fingerprint : str
+            Fingerprint of the request.
 
         Returns
         -------
@@ -129,37 +139,40 @@
         if key in self._waiting:
             return ClaimRefused(key, "in_progress", "unknown")
         self._waiting[key] = future
-        runner.drive(runner.machine.claim(self._clock(), key, fingerprint))
-        self._claimed.set()
+        runner.execute(runner.machine.claim(self._clock(), key, fingerprint))
+        self._wakeup.set()
         try:
             return await asyncio.shield(future)
         finally:
             self._waiting.pop(key, None)
 
-    async def claim_caller_key(self, key, fingerprint, home=None):
-        """Claim a key of the caller's own by one conditional create.
+    async def claim_caller_key(self, key, fingerprint, owner=None):
+        """Claim a key that the caller chose, by one conditional create.
 
         Parameters
         ----------
         key : str
             The key.
         fingerprint : str
-            Of the request.
-        home : str or None
-            Who gets it; this incarnation by default.
+            Fingerprint of the request.
+        owner : str or None
+            Incarnation that shall own the key; the current one by default.
 
         Returns
         -------
         ClaimGranted, ClaimRefused or ClaimOwnedElsewhere
         """
         machine = CallerKeyClaim(
-            key, home or self.incarnation, fingerprint, secrets.token_hex(8)
+            key, owner or self.incarnation, fingerprint, secrets.token_hex(8)
         )
         future = asyncio.get_running_loop().create_future()
         runner = MachineRunner(
-            machine, self._client, self._clock, lambda effect: _settle(future, effect)
+            machine,
+            self._client,
+            self._clock,
+            lambda effect: _set_outcome(future, effect),
         )
-        runner.drive(machine.start(self._clock()))
+        runner.execute(machine.start(self._clock()))
         while not future.done():
             await asyncio.wait([future], timeout=BUSY_TICK_S)
             runner.tick()
@@ -167,25 +180,34 @@
         return future.result()
 
     def finish(self, key, incarnation):
-        """Note that a granted key's request has its final answer."""
+        """Record that the request of a granted key has its final answer."""
         runner = self._runners.get(incarnation)
         if runner is not None:
-            runner.drive(runner.machine.finish(self._clock(), key))
+            runner.execute(runner.machine.finish(self._clock(), key))
 
     def resolve(self, key, incarnation):
-        """Return what became of a key of ours: not_run, running, done or unknown."""
+        """Return the outcome of an own key: not_run, running, done or unknown."""
         return self._runners[incarnation].machine.resolve(self._clock(), key)
 
-    async def resolve_dead(self, key, incarnation, timeout_s):
-        """Seal a dead home's journal and return what became of one of its keys.
+    async def resolve_by_sealing(self, key, incarnation, timeout_s):
+        """Seal a dead owner's journal and return the outcome of one of its keys.
+
+        Parameters
+        ----------
+        key : str
+            The key.
+        incarnation : str
+            The incarnation that owns the key.
+        timeout_s : float
+            Longest wait for the seal.
 
         Returns
         -------
         str or None
             ``not_run`` or ``unknown``; None when the platform didn't answer in time.
         """
-        if not is_genuine(key, self._keys):
-            # Made up, or signed with a secret that has been taken away since.
+        if not is_signed(key, self._keys):
+            # Forged, or signed with a secret that was removed since.
             return "unknown"
         if incarnation not in self._sealers:
             self._start_sealer(incarnation)
@@ -197,25 +219,25 @@
         return runner.machine.outcome(key)
 
     async def seal_own(self, timeout_s):
-        """Seal our journal for a planned stop; True when it is sealed."""
+        """Seal the current journal for a planned stop; return whether it is sealed."""
         runner = self._runners[self.incarnation]
-        runner.drive(runner.machine.seal(self._clock()))
-        self._claimed.set()
+        runner.execute(runner.machine.seal(self._clock()))
+        self._wakeup.set()
         try:
             await asyncio.wait_for(self._sealed.wait(), timeout_s)
         except TimeoutError:
             return False
         return True
 
-    def _open(self, incarnation):
-        """Begin the journal of an incarnation."""
+    def _open_journal(self, incarnation):
+        """Open the journal of an incarnation of this process."""
         machine = ClaimJournal(incarnation, secrets.token_hex(8), self._policy)
         self._runners[incarnation] = MachineRunner(
             machine, self._client, self._clock, self._on_effect
         )
 
     def _on_effect(self, effect):
-        """Take what a journal decided."""
+        """Handle a decision of an own journal."""
         if isinstance(effect, ClaimGranted | ClaimRefused):
             future = self._waiting.get(effect.key)
             if future is not None and not future.done():
@@ -225,7 +247,7 @@
             self._sealed.set()
 
     def _start_sealer(self, incarnation):
-        """Begin to seal a dead home's journal, forgetting the oldest sealer."""
+        """Start sealing a dead owner's journal; drop the oldest sealer if full."""
         if len(self._sealers) >= SEALERS_MAX:
             oldest = next(iter(self._sealers))
             self._sealers.pop(oldest)
@@ -239,19 +261,19 @@
 
         runner = MachineRunner(machine, self._client, self._clock, on_effect)
         self._sealers[incarnation] = (runner, done)
-        runner.drive(machine.start(self._clock()))
-        self._claimed.set()
+        runner.execute(machine.start(self._clock()))
+        self._wakeup.set()
 
-    async def _tick_on(self):
-        """Tick the machines, often while anything waits."""
+    async def _tick_loop(self):
+        """Tick the machines, more often while claims or sealers are pending."""
         while True:
             busy = bool(self._waiting) or any(
                 not done.is_set() for _, done in self._sealers.values()
             )
-            self._claimed.clear()
+            self._wakeup.clear()
             try:
                 await asyncio.wait_for(
-                    self._claimed.wait(), BUSY_TICK_S if busy else IDLE_TICK_S
+                    self._wakeup.wait(), BUSY_TICK_S if busy else IDLE_TICK_S
                 )
                 await asyncio.sleep(BUSY_TICK_S)
             except TimeoutError:
@@ -259,34 +281,34 @@
             self._tick()
 
     def _tick(self):
-        """Let each machine do what is due; begin anew when sealed out."""
+        """Tick each machine; open a new journal when another host sealed this one."""
         for runner in list(self._runners.values()):
             runner.tick()
         for runner, done in list(self._sealers.values()):
             if not done.is_set():
                 runner.tick()
         if self.journal.is_fenced:
-            # A survivor took this host for dead and sealed its journal. Its keys can
-            # be granted no more; a new incarnation's keys can.
+            # Another host took this one for dead and sealed its journal, which can
+            # grant no more keys. A new incarnation can.
             self._log("warning", "journal_sealed_out", incarnation=self.incarnation)
             self.incarnation = new_incarnation()
-            self._open(self.incarnation)
+            self._open_journal(self.incarnation)
             self._on_new_incarnation(self.incarnation)
 
 
 def journal_policy(settings):
-    """Return the journal's limits from the daemon's settings."""
+    """Return the limits of a journal from the daemon's settings."""
     flush_s = settings["journal.flush_s"]
     return JournalPolicy(
         writes_per_s=1.0 / flush_s if flush_s else 1000.0,
         claim_timeout_s=settings["journal.wait_s"],
         retention_s=settings["journal.retention_s"],
-        backoff_max_s=BACKOFF_LIMIT_S,
+        backoff_max_s=BACKOFF_MAX_S,
     )
 
 
-def _settle(future, effect):
-    """Give a claim's outcome to whoever waits for it."""
+def _set_outcome(future, effect):
+    """Set the result of a future to a claim's outcome."""
     if isinstance(effect, ClaimGranted | ClaimRefused | ClaimOwnedElsewhere):
         if not future.done():
             future.set_result(effect)
--- a/libs/daemon/gypsumusher_daemon/key_signatures.py
+++ b/libs/daemon/gypsumusher_daemon/key_signatures.py
@@ -1,22 +1,23 @@
-"""Signatures in minted keys, so that nobody makes up a key of a dead host."""
+"""Signatures of minted keys, which keep callers from forging keys of dead hosts."""
 
 import hashlib
 import hmac
 
 from gypsumusher_coordination import parse_key
 
-__all__ = ["is_genuine", "sign_parts"]
+__all__ = ["is_signed", "sign_parts"]
 
+# Hex digits of a signature: 128 bits.
 SIGNATURE_CHARS = 32
 
 
 def sign_parts(parts, secret):
-    """Return the last part of a minted key, which only our hosts can make.
+    """Return the signature that forms the last part of a minted key.
 
     Parameters
     ----------
     parts : KeyParts
-        What the key says of itself.
+        The signed parts of the key.
     secret : str
         A shared secret of the hosts.
     """
@@ -25,19 +26,19 @@
     return digest.hexdigest()[:SIGNATURE_CHARS]
 
 
-def is_genuine(key, keys):
-    """Return whether one of our hosts minted a key.
+def is_signed(key, keys):
+    """Return whether a key was minted and signed by one of the entry hosts.
 
-    Failure guarded against: a caller makes up keys of homes that never were. A host
-    that is asked about one would seal that home's journal, which leaves an object on
-    the platform for good, at the price of one request each.
+    Without this check a caller could forge keys of owners that never existed. A host
+    asked about such a key would seal that owner's journal, so that each request would
+    leave a permanent object on the platform.
 
     Parameters
     ----------
     key : str
-        A key that names a home.
+        A key that names an owner.
     keys : list of KeySettings
-        The shared secrets; any may have signed, during a rotation.
+        The shared secrets; during a rotation any of them may have signed the key.
     """
     parts = parse_key(key)
     if parts is None:
--- a/libs/daemon/gypsumusher_daemon/keyed_routing.py
+++ b/libs/daemon/gypsumusher_daemon/keyed_routing.py
@@ -1,4 +1,4 @@
-"""Where a keyed request runs: here, at its home, or nowhere any more."""
+"""Routes a keyed request: runs it here, forwards it to its owner, or refuses it."""
 
 import asyncio
 import json
@@ -12,22 +12,27 @@
 )
 from gypsumusher_coordination.claims import WITHDRAWN
 from gypsumusher_daemon.delivery import Delivery
-from gypsumusher_daemon.forwarding import FORWARDED_HEADER, broken_forward
+from gypsumusher_daemon.forwarding import FORWARDED_HEADER, lost_forward_refusal
 from gypsumusher_daemon.keyed_requests import refusal_of_claim
 from gypsumusher_daemon.refusals import Refusal
 
-__all__ = ["KeyedFlow"]
+__all__ = ["KeyedRouter"]
 
-# A connection that is refused twice in this time is no lost packet.
+# Connections tried to a key's owner and the pause after each; repeated failures are
+# not caused by a lost packet.
 CONNECT_TRIES = 3
 CONNECT_PAUSE_S = 0.2
+# Interval at which a wait for the owner's answer checks whether the owner is suspect.
 SUSPECT_POLL_S = 0.1
+# Longest wait for the platform to seal a dead owner's journal.
 SEAL_TIMEOUT_S = 5.0
-ASK_HOME_TIMEOUT_S = 3.0
+# Longest wait for the owner's answer to an outcome query.
+OWNER_QUERY_TIMEOUT_S = 3.0
+# Retry-After when the outcome of a key can't be determined now.
 RETRY_UNKNOWN_S = 3.0
 
 
-class KeyedFlow:
+class KeyedRouter:
     """Decides for each keyed request which host may run it.
 
     Parameters
@@ -35,17 +40,17 @@
     host : str
         This host.
     journals : Journals
-        Claims and sealing.
-    keyed : KeyedRequests
-        What this home remembers.
+        Claims keys and seals journals.
+    keyed_requests : KeyedRequests
+        The keyed requests that this host runs or has run.
     directory : HostsDirectory
-        Finds a home by its incarnation.
+        Finds the host of an incarnation.
     forwarder : Forwarder
-        Passes requests on.
+        Forwards requests to owners.
     sessions : EngineSessions
-        HTTP, for questions to homes.
+        HTTP sessions for outcome queries to owners.
     is_suspect : callable
-        ``is_suspect(host)`` says whether a host doesn't answer its peers.
+        ``is_suspect(host)`` returns whether a host doesn't answer its peers.
     log : callable
         Structured log.
     """
@@ -54,7 +59,7 @@
         self,
         host,
         journals,
-        keyed,
+        keyed_requests,
         directory,
         forwarder,
         sessions,
@@ -63,7 +68,7 @@
     ):
         self._host = host
         self._journals = journals
-        self._keyed = keyed
+        self._keyed_requests = keyed_requests
         self._directory = directory
         self._forwarder = forwarder
         self._sessions = sessions
@@ -73,20 +78,20 @@
         self._tasks = set()
 
     async def serve(self, key, fingerprint, run, request, forwarded):
-        """Serve a keyed request wherever it belongs.
+        """Run a keyed request here or forward it to its owner.
 
         Parameters
         ----------
         key : str
-            Minted by one of our hosts, or the caller's own.
+            A key minted by an entry host, or one that the caller chose.
         fingerprint : str
-            Of the request.
+            Fingerprint of the request.
         run : coroutine function
-            ``await run(entry, claim)`` runs it here.
+            ``await run(entry, claim)`` runs the request on this host.
         request : sanic.Request
-            The caller's request, to pass on.
+            The caller's request, which may be forwarded.
         forwarded : bool
-            Whether another host has passed it on already.
+            Whether another host forwarded the request to this one.
 
         Returns
         -------
@@ -96,69 +101,75 @@
         if parts is None:
             return await self._serve_caller_key(key, fingerprint, run, request)
         if self._journals.owns(parts.incarnation):
-            return _delivery_of(self._keyed.begin(key, fingerprint, run))
+            return _delivery_of(
+                self._keyed_requests.attach_or_start(key, fingerprint, run)
+            )
         if forwarded:
-            # The sender took this host for the home. A second hop could go round in
-            # a circle while hosts learn of each other's new incarnations.
+            # The sender took this host for the owner. Forwarding again could loop
+            # while hosts have not yet received each other's new incarnations.
             return Refusal(
                 "key_unknown_outcome",
-                "this host is not the key's home",
+                "this host is not the key's owner",
                 "unknown",
                 "forward",
                 self._host,
                 RETRY_UNKNOWN_S,
             )
-        return await self._send_home(key, parts.incarnation, request)
+        return await self._send_to_owner(key, parts.incarnation, request)
 
     async def outcome(self, key, forwarded=False):
-        """Return what became of a key.
+        """Return the outcome of a key.
 
         Parameters
         ----------
         key : str
-            Any key.
+            A minted key or one that a caller chose.
         forwarded : bool
-            Whether another host asks.
+            Whether the query comes from another host.
 
         Returns
         -------
         dict
             ``key``, ``outcome`` (not_run, running, done or unknown) and ``detail``.
-            A key that was not claimed yet is withdrawn by the question, so that
-            ``not_run`` stays true whatever arrives later.
+            The query withdraws a key that is not claimed yet, so that ``not_run``
+            stays true whatever request arrives later.
         """
-        known = self._keyed.outcome(key)
-        if known is not None:
-            return _outcome(key, known, "known to its home")
+        own_outcome = self._keyed_requests.outcome(key)
+        if own_outcome is not None:
+            return _outcome(key, own_outcome, "known to its owner")
         parts = parse_key(key)
         if parts is None:
             return await self._outcome_of_caller_key(key)
         if forwarded:
-            return _outcome(key, "unknown", "this host is not the key's home")
+            return _outcome(key, "unknown", "this host is not the key's owner")
         record = self._directory.find_incarnation(parts.incarnation)
         if record is not None and not self._is_suspect(record.name):
-            answer = await self._ask_home(record.callers, key)
+            answer = await self._query_owner(record.callers, key)
             if answer is not None:
                 return answer
-        found = await self._journals.resolve_dead(
+        found = await self._journals.resolve_by_sealing(
             key, parts.incarnation, SEAL_TIMEOUT_S
         )
         if found is None:
             return _outcome(key, "unknown", "the platform gave no answer; ask again")
-        return _outcome(key, found, "its home is gone and its journal is sealed")
+        return _outcome(key, found, "its owner is gone and its journal is sealed")
 
     async def _serve_caller_key(self, key, fingerprint, run, request):
-        """Serve a key that names no home: one conditional create decides."""
+        """Serve a key that a caller chose: one conditional create assigns its owner."""
         while key in self._claiming:
             await asyncio.wait([self._claiming[key]])
-        if self._keyed.find(key) is not None:
-            return _delivery_of(self._keyed.begin(key, fingerprint, run))
+        if self._keyed_requests.find(key) is not None:
+            return _delivery_of(
+                self._keyed_requests.attach_or_start(key, fingerprint, run)
+            )
         claiming = asyncio.get_running_loop().create_future()
         self._claiming[key] = claiming
         try:
             claim = await self._journals.claim_caller_key(key, fingerprint)
             if isinstance(claim, ClaimGranted):
-                entry = self._keyed.begin(key, fingerprint, run, granted=True)
+                entry = self._keyed_requests.attach_or_start(
+                    key, fingerprint, run, granted=True
+                )
                 return _delivery_of(entry)
         finally:
             del self._claiming[key]
@@ -172,21 +183,24 @@
                 step="claim",
             )
         if self._journals.owns(claim.owner) or FORWARDED_HEADER in request.headers:
-            # Claimed here, and the memory of it is gone.
+            # This host claimed the key, but no longer has the request in memory.
             return _unknown_outcome(self._host)
-        return await self._send_home(key, claim.owner, request)
+        return await self._send_to_owner(key, claim.owner, request)
 
-    async def _send_home(self, key, incarnation, request):
-        """Pass a request on to its home, or say what is known when that is gone."""
+    async def _send_to_owner(self, key, incarnation, request):
+        """Forward a request to its owner; without one, refuse it with its outcome."""
         record = self._directory.find_incarnation(incarnation)
         if record is not None:
             delivery = await self._forward(record, request)
             if delivery is not None:
                 return delivery
         if parse_key(key) is None:
-            # The claim stands on the platform, so its home may have sent it.
+            # The claim is stored on the platform, so its owner may have sent the
+            # request.
             return _unknown_outcome(incarnation)
-        found = await self._journals.resolve_dead(key, incarnation, SEAL_TIMEOUT_S)
+        found = await self._journals.resolve_by_sealing(
+            key, incarnation, SEAL_TIMEOUT_S
+        )
         if found == "not_run":
             return Refusal(
                 "key_not_run",
@@ -198,7 +212,7 @@
             return _unknown_outcome(incarnation)
         return Refusal(
             "key_unknown_outcome",
-            "the key's host is not reached and the platform gave no answer; ask again",
+            "neither the key's host nor the platform gave an answer; ask again",
             "unknown",
             "seal",
             incarnation,
@@ -206,13 +220,19 @@
         )
 
     async def _forward(self, record, request):
-        """Return the home's answer on its way, or None when it can't be reached."""
+        """Forward a request to its owner.
+
+        Returns
+        -------
+        Delivery, Refusal or None
+            None when the owner can't be reached or stops answering.
+        """
         target = request.path
         if request.query_string:
             target = f"{target}?{request.query_string}"
         for _ in range(CONNECT_TRIES):
             delivery = Delivery()
-            begun = asyncio.ensure_future(
+            forwarding = asyncio.ensure_future(
                 self._forwarder.forward(
                     record.callers,
                     request.method,
@@ -222,61 +242,60 @@
                     delivery,
                 )
             )
-            self._tasks.add(begun)
-            begun.add_done_callback(self._tasks.discard)
-            if await self._wait_for_head(record.name, begun, delivery):
+            self._tasks.add(forwarding)
+            forwarding.add_done_callback(self._tasks.discard)
+            if await self._wait_for_head(record.name, forwarding, delivery):
                 return delivery
-            if not begun.done():
-                begun.cancel()
+            if not forwarding.done():
+                forwarding.cancel()
                 return None
-            if await begun:
-                return broken_forward(record.name)
+            if await forwarding:
+                return lost_forward_refusal(record.name)
             await asyncio.sleep(CONNECT_PAUSE_S)
         self._log("warning", "home_unreachable", home=record.name)
         return None
 
-    async def _wait_for_head(self, home, begun, delivery):
-        """Wait for the home's answer to begin; False when there won't be one.
+    async def _wait_for_head(self, owner, forwarding, delivery):
+        """Wait for the head of the owner's answer; return False when there is none.
 
-        Failure guarded against: the home is paused or cut off after its kernel has
-        taken the connection, and the caller waits for an answer that nobody gives.
-        A home that is suspected meanwhile is waited for no longer; its sealed
-        journal then decides what may be said, so a wrong suspicion costs an
-        "unknown" at worst. A home that lives is waited for as long as it takes.
+        The wait ends when the owner becomes suspect: an owner that is paused or cut
+        off after its kernel accepted the connection would never answer. Its sealed
+        journal then determines the outcome, so a wrong suspicion at worst yields
+        "unknown". For a live owner there is no limit.
         """
-        head = asyncio.ensure_future(delivery.wait_head())
+        head_task = asyncio.ensure_future(delivery.wait_head())
         try:
-            while not begun.done() and not head.done():
+            while not forwarding.done() and not head_task.done():
                 await asyncio.wait(
-                    [begun, head],
+                    [forwarding, head_task],
                     timeout=SUSPECT_POLL_S,
                     return_when=asyncio.FIRST_COMPLETED,
                 )
-                if self._is_suspect(home):
+                if self._is_suspect(owner):
                     break
         finally:
-            head.cancel()
+            head_task.cancel()
         return delivery.head is not None
 
-    async def _ask_home(self, address, key):
-        """Return the home's word on a key, or None when it can't be reached."""
+    async def _query_owner(self, address, key):
+        """Query the owner for a key's outcome; return None if it can't be reached."""
         try:
             async with self._sessions.fresh.get(
                 f"http://{address}/v1/keys/{key}",
                 headers={FORWARDED_HEADER: self._host},
-                timeout=aiohttp.ClientTimeout(total=ASK_HOME_TIMEOUT_S),
+                timeout=aiohttp.ClientTimeout(total=OWNER_QUERY_TIMEOUT_S),
             ) as response:
                 answer = json.loads(await response.read())
         except (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError):
             return None
         except (aiohttp.ClientError, TimeoutError, OSError, ValueError):
-            return _outcome(key, "unknown", "its home gave no answer; ask again")
+            return _outcome(key, "unknown", "its owner gave no answer; ask again")
         if not isinstance(answer, dict) or "outcome" not in answer:
-            return _outcome(key, "unknown", "its home is not ready; ask again")
+            return _outcome(key, "unknown", "its owner is not ready; ask again")
         return answer
 
     async def _outcome_of_caller_key(self, key):
-        """Withdraw a caller's own key, or say that it was claimed."""
+        """Withdraw a caller's own key, or return the outcome if it was claimed."""
         claim = await self._journals.claim_caller_key(key, WITHDRAWN, WITHDRAWN)
         if isinstance(claim, ClaimGranted):
             return _outcome(key, "not_run", "it was not claimed and is withdrawn now")
@@ -286,23 +305,23 @@
             return _outcome(key, "unknown", "the platform gave no answer; ask again")
         record = self._directory.find_incarnation(claim.owner)
         if record is None or self._journals.owns(claim.owner):
-            return _outcome(key, "unknown", "its home is gone")
-        answer = await self._ask_home(record.callers, key)
-        return answer or _outcome(key, "unknown", "its home is gone")
+            return _outcome(key, "unknown", "its owner is gone")
+        answer = await self._query_owner(record.callers, key)
+        return answer or _outcome(key, "unknown", "its owner is gone")
 
 
 def _delivery_of(entry):
-    """Return the delivery of a key's entry, or the refusal."""
+    """Return the delivery of a keyed entry; a refusal is returned unchanged."""
     return entry if isinstance(entry, Refusal) else entry.delivery
 
 
 def _outcome(key, outcome, detail):
-    """Return the answer to a question about a key."""
+    """Return the body of the answer to an outcome query."""
     return {"key": key, "outcome": outcome, "detail": detail}
 
 
 def _unknown_outcome(peer):
-    """Return the refusal of a key whose outcome nobody can know any more."""
+    """Return the refusal for a key whose outcome can't be determined any more."""
     return Refusal(
         "key_unknown_outcome",
         "the key's host is gone; whether the request ran is not known",
--- a/libs/daemon/gypsumusher_daemon/machine_runner.py
+++ b/libs/daemon/gypsumusher_daemon/machine_runner.py
@@ -1,4 +1,4 @@
-"""Carries out the effects of coordination machines against the platform."""
+"""Executes the effects of coordination state machines against the platform."""
 
 import asyncio
 
@@ -19,20 +19,21 @@
 
 
 class MachineRunner:
-    """Feeds one machine with answers and hands its other effects on.
+    """Makes the object calls of one state machine and feeds it their results.
 
     Parameters
     ----------
     machine : object
-        Has ``handle(now_s, event)`` and, if it is ticked, ``tick(now_s)``.
+        State machine with ``handle(now_s, event)`` and, if `tick` is used,
+        ``tick(now_s)``; both return a list of effects.
     client : PlatformClient
         The platform.
     clock : callable
         Boot-time clock.
     on_effect : callable
-        ``on_effect(effect)`` takes every effect that is no object call.
+        ``on_effect(effect)`` gets every effect that is not an object call.
     urgent : bool
-        Whether the calls may use the budget's reserve.
+        Whether the calls may use the reserve of the host's call budget.
     """
 
     def __init__(self, machine, client, clock, on_effect, urgent=True):
@@ -43,13 +44,13 @@
         self._urgent = urgent
         self._tasks = set()
 
-    def drive(self, effects):
-        """Carry out some effects.
+    def execute(self, effects):
+        """Execute effects.
 
         Parameters
         ----------
         effects : list
-            What a method of the machine returned.
+            Effects returned by a method of the machine.
         """
         for effect in effects:
             if isinstance(effect, ReadObject | WriteObject | DeleteObject):
@@ -60,23 +61,23 @@
             self._on_effect(effect)
 
     def tick(self):
-        """Let the machine do what is due."""
-        self.drive(self.machine.tick(self._clock()))
+        """Tick the machine and execute the effects."""
+        self.execute(self.machine.tick(self._clock()))
 
     async def close(self):
-        """Give up the calls in flight; their machine hears nothing more."""
+        """Cancel the calls in flight; the machine gets no results for them."""
         tasks = list(self._tasks)
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
 
     async def _call(self, effect):
-        """Make one object call and tell the machine how it ended."""
-        event = await self._event_of(effect)
-        self.drive(self.machine.handle(self._clock(), event))
+        """Make an object call and hand its result to the machine."""
+        event = await self._result_event(effect)
+        self.execute(self.machine.handle(self._clock(), event))
 
-    async def _event_of(self, effect):
-        """Return the event that answers an object call."""
+    async def _result_event(self, effect):
+        """Make an object call and return its result as the machine's event."""
         client = self._client
         if isinstance(effect, ReadObject):
             result = await client.read(effect.kind, effect.name, urgent=self._urgent)
--- a/libs/daemon/gypsumusher_daemon/metrics.py
+++ b/libs/daemon/gypsumusher_daemon/metrics.py
@@ -1,4 +1,4 @@
-"""Counters and histograms by deployment, class and tenant group."""
+"""Metrics of the host: counters, gauges and histograms."""
 
 import hashlib
 
@@ -7,15 +7,17 @@
 
 __all__ = ["TENANT_GROUPS", "Metrics", "tenant_group"]
 
-# 6,500 accounts would make 6,500 series of each histogram; 16 groups keep the
-# metrics of a host at a few thousand lines and still set noisy tenants apart.
+# With 6,500 client accounts a tenant label would give 6,500 series per histogram; 16
+# groups keep a host's metrics at a few thousand lines and still separate a tenant
+# with unusual load from most others.
 TENANT_GROUPS = 16
-# Around the targets: 27 ms between tokens, 1.5 s to the first, a minute in all.
+# Include the latency targets: 27 ms between tokens, 1.5 s to the first token, 60 s
+# for a complete answer.
 WAIT_BUCKETS_S = [0.001, 0.005, 0.027, 0.1, 0.3, 0.75, 1.5, 3.0, 10.0, 60.0, 600.0]
 
 
 def tenant_group(tenant):
-    """Return the group of a tenant, stable over hosts and restarts.
+    """Return the group label of a tenant, the same on all hosts and after restarts.
 
     Parameters
     ----------
@@ -27,7 +29,7 @@
 
 
 class Metrics:
-    """The host's metrics, in a registry of its own."""
+    """The metrics of one host, in their own registry."""
 
     def __init__(self):
         self.registry = Registry()
@@ -39,38 +41,44 @@
         self.orders = self._add(Counter, "orders_total", "Orders to engines by end")
         self.running = self._add(Gauge, "requests_running", "Requests now in the host")
         self.config = self._add(Gauge, "config_number", "Configuration in force")
-        self.wait = self._add_histogram("queue_wait_s", "Wait before the first send")
-        self.first = self._add_histogram("first_token_s", "Arrival to first token")
-        self.whole = self._add_histogram("whole_answer_s", "Arrival to whole answer")
+        self.queue_wait_s = self._add_histogram(
+            "queue_wait_s", "Wait before the first send"
+        )
+        self.first_token_s = self._add_histogram(
+            "first_token_s", "Arrival to first token"
+        )
+        self.whole_answer_s = self._add_histogram(
+            "whole_answer_s", "Arrival to whole answer"
+        )
 
     def _add(self, kind, name, text):
         """Register a metric."""
         return kind(f"gypsumusher_{name}", text, registry=self.registry)
 
     def _add_histogram(self, name, text):
-        """Register a histogram of waits."""
+        """Register a histogram of durations in seconds."""
         return Histogram(
             f"gypsumusher_{name}", text, buckets=WAIT_BUCKETS_S, registry=self.registry
         )
 
     def request_began(self, call):
-        """Count a request in."""
+        """Count a request that starts to run."""
         self.running.inc({"deployment": call.deployment})
 
     def request_ended(self, call, outcome, took_s):
-        """Count a request out; ``took_s`` from arrival to its last byte."""
+        """Count a request that ended, ``took_s`` after its arrival."""
         self.running.dec({"deployment": call.deployment})
         self.requests.inc({"deployment": call.deployment, "outcome": outcome})
         if outcome == "done":
-            self.whole.observe(_labels(call), took_s)
+            self.whole_answer_s.observe(_labels(call), took_s)
 
     def queue_waited(self, call, wait_s):
-        """Note how long a request waited before it was sent."""
-        self.wait.observe(_labels(call), wait_s)
+        """Observe how long a request waited before it was first sent."""
+        self.queue_wait_s.observe(_labels(call), wait_s)
 
     def first_token(self, call, wait_s):
-        """Note how long a request waited for its first token."""
-        self.first.observe(_labels(call), wait_s)
+        """Observe how long a request waited for its first token."""
+        self.first_token_s.observe(_labels(call), wait_s)
 
     def refused(self, call, code):
         """Count a refusal."""
@@ -80,8 +88,8 @@
         """Count an attempt that failed."""
         self.attempts.inc({"deployment": call.deployment, "reason": reason})
 
-    def order_settled(self, deployment, goal, state):
-        """Count an order that has ended; ``goal`` tells what it was for."""
+    def order_ended(self, deployment, goal, state):
+        """Count an order that ended in a state; ``goal`` has its kind as only key."""
         kind = next(iter(goal))
         labels = {"deployment": deployment, "goal": kind, "state": state}
         self.orders.inc(labels)
--- a/libs/daemon/gypsumusher_daemon/model_requests.py
+++ b/libs/daemon/gypsumusher_daemon/model_requests.py
@@ -1,4 +1,4 @@
-"""Reading callers' requests for model work and checking them whole."""
+"""Parses and validates callers' completion and chat completion requests."""
 
 import hashlib
 import json
@@ -18,17 +18,21 @@
 COMPLETIONS = "/v1/completions"
 CHAT_COMPLETIONS = "/v1/chat/completions"
 
-# The chunk that the engines' cache events count in.
+# Chunk size of the prefix hashes in the engines' cache events.
 PREFIX_CHUNK_CHARS = 256
-# Enough for a prompt of 16,000 characters; a longer one shares its head or nothing.
+# Covers 16,000 characters of a prompt; a longer prompt that shares a cached prefix
+# shares its beginning.
 PREFIX_CHUNKS_MAX = 64
+# Used when a request gives no max_tokens.
 DEFAULT_OUTPUT_TOKENS = 256
+# Largest max_tokens that is accepted.
 OUTPUT_TOKENS_MAX = 1_000_000
+# Longest tenant or idempotency key.
 HEADER_CHARS_MAX = 256
 
 
 class ModelRequest(NamedTuple):
-    """A caller's checked request.
+    """A caller's validated request.
 
     Attributes
     ----------
@@ -39,23 +43,23 @@
     deployment : str
         The model deployment that serves it.
     tenant, class_name : str
-        Whose work it is and of which kind.
+        Client account and request class.
     stream : bool
         Whether the caller wants server-sent events.
     prompt_tokens : int
-        Estimate: words of the prompt.
+        Estimated prompt length: the number of its words.
     max_output_tokens : int
-        Most tokens of the answer.
+        Most tokens that the answer may have.
     deadline_in_s : float
-        Time from arrival after which the answer is of no use.
+        Time from arrival to the deadline.
     key : str or None
         The caller's idempotency key.
     idempotent : bool
         Whether it may run more than once.
     prefix_hashes : tuple of int
-        Hash of each longer prefix of the prompt.
+        Hashes of the prompt's prefixes, see `prefix_hashes`.
     fingerprint : str
-        Hash of everything that decides the answer.
+        Hash of the path and body, see `request_fingerprint`.
     """
 
     path: str
@@ -74,11 +78,12 @@
 
 
 def _malformed(message):
+    """Return the refusal for a request that can't be parsed or has an invalid value."""
     return Refusal("malformed", message, step="parse")
 
 
 def parse_model_request(path, headers, raw_body, document):
-    """Check a request for model work against the configuration in force.
+    """Parse a model request and validate it against the configuration in force.
 
     Parameters
     ----------
@@ -94,7 +99,7 @@
     Returns
     -------
     ModelRequest or Refusal
-        The refusal names the parameter and the value seen.
+        The refusal names the invalid parameter and its value.
     """
     try:
         body = json.loads(raw_body)
@@ -147,7 +152,7 @@
 
 
 def _prompt_text(path, body):
-    """Return the prompt as one text, or a refusal."""
+    """Return the prompt or all message contents as one string, or a refusal."""
     if path == COMPLETIONS:
         prompt = body.get("prompt")
         if not isinstance(prompt, str):
@@ -210,7 +215,7 @@
 
 
 def prefix_hashes(prompt):
-    """Return the hash of each prefix of whole chunks, shortest first.
+    """Return the hash of each prefix that consists of full chunks, shortest first.
 
     Parameters
     ----------
@@ -220,8 +225,8 @@
     Returns
     -------
     tuple of int
-        At most `PREFIX_CHUNKS_MAX` 64-bit numbers, as the engines' cache events
-        name them.
+        At most `PREFIX_CHUNKS_MAX` 64-bit hashes, chained as in the engines' cache
+        events.
     """
     hashes = []
     digest = b""
@@ -234,15 +239,15 @@
 
 
 def request_fingerprint(path, body):
-    """Return a hash of what decides a request's answer.
+    """Return a hash of the request content that determines the answer.
 
     Parameters
     ----------
     path : str
-        The path it was sent to.
+        The path of the request.
     body : object
-        The body, JSON-able. ``stream`` and ``stream_options`` are left out: they say
-        how the answer is carried, not what it is.
+        The JSON body. ``stream`` and ``stream_options`` are left out: they change the
+        transfer of the answer, not its content.
     """
     content = body
     if isinstance(body, dict):
--- a/libs/daemon/gypsumusher_daemon/operator_routes.py
+++ b/libs/daemon/gypsumusher_daemon/operator_routes.py
@@ -1,4 +1,4 @@
-"""The operators' HTTP routes: configuration, status, explanations, keys."""
+"""HTTP routes for operators: configuration, status, request history and keys."""
 
 import hmac
 import json
@@ -28,8 +28,9 @@
     "author": str,
     "note": str,
 }
+# Longest patch id, author or note.
 TEXT_CHARS_MAX = 1024
-# A document has at most a megabyte on the platform; a patch may repeat it.
+# A stored document has at most 1 MiB; a patch may contain all of it.
 BODY_BYTES_MAX = 2 * 1_048_576
 
 
@@ -39,7 +40,7 @@
     Parameters
     ----------
     host : EntryHost
-        Knows the answers.
+        The host that is shown and controlled.
     """
     app = Sanic(f"operators-{host.incarnation}", configure_logging=False)
     app.config.update(
@@ -49,25 +50,27 @@
     async def check_token(request):
         expected = f"Bearer {host.settings['operators.token']}".encode()
         given = request.headers.get("authorization", "").encode()
-        # Compared in constant time: the time of a plain comparison tells how much
-        # of the token was right.
+        # Compared in constant time: the duration of a plain comparison would reveal
+        # how many characters of the token are correct.
         if not hmac.compare_digest(given, expected):
-            return _error(401, "unauthorized", "give the operators' token")
+            return _error_response(401, "unauthorized", "give the operators' token")
         return None
 
     async def show_config(request):
         number = request.args.get("number")
-        if number is not None and number != str(host.number):
-            message = f"version {number} is not in force; {host.number} is"
-            return _error(404, "not_in_force", message)
-        return _json({"number": host.number, "document": host.document or {}})
+        if number is not None and number != str(host.config_number):
+            message = f"version {number} is not in force; {host.config_number} is"
+            return _error_response(404, "not_in_force", message)
+        return _json_response(
+            {"number": host.config_number, "document": host.document or {}}
+        )
 
     async def patch_config(request):
         body = _read_patch(request)
         if isinstance(body, str):
-            return _error(400, "malformed", body)
+            return _error_response(400, "malformed", body)
         outcome = await host.configuration.patch(**body)
-        return _patch_answer(outcome)
+        return _patch_response(outcome)
 
     async def validate_config(request):
         body = _read_object(request)
@@ -75,32 +78,38 @@
         if document is None and isinstance(body.get("patch"), dict):
             document = merge_patch(host.document or {}, body["patch"])
         if not isinstance(document, dict):
-            return _error(400, "malformed", "give a document or a patch, an object")
-        return _json({"problems": _problems(check_document(document))})
+            return _error_response(
+                400, "malformed", "give a document or a patch, an object"
+            )
+        return _json_response({"problems": _problem_dicts(check_document(document))})
 
     async def history(request):
         head = host.configuration.replica.head or {"number": 0, "patches": []}
-        return _json({"number": head["number"], "patches": head["patches"]})
+        return _json_response({"number": head["number"], "patches": head["patches"]})
 
     async def status(request):
-        return _json(host_status(host))
+        return _json_response(host_status(host))
 
     async def explain(request, request_id):
         events = explain_request(host, request_id)
         if events is None:
             message = "this host has no record of it; ask the host that served it"
-            return _error(404, "unknown_request", message)
-        return _json({"request_id": request_id, "events": events})
+            return _error_response(404, "unknown_request", message)
+        return _json_response({"request_id": request_id, "events": events})
 
     async def find_key(request, key):
-        return _json(await host.flows.key_outcome(key))
+        return _json_response(await host.request_runner.key_outcome(key))
 
     async def confirm_dead(request, deployment):
         body = _read_object(request)
         term = body.get("term")
         if not isinstance(term, int):
-            return _error(400, "malformed", "term must be the dead holder's number")
-        return _json({"confirmed": host.stewards.confirm_dead(deployment, term)})
+            return _error_response(
+                400, "malformed", "term must be the dead holder's number"
+            )
+        return _json_response(
+            {"confirmed": host.stewards.confirm_dead(deployment, term)}
+        )
 
     app.register_middleware(check_token, "request")
     app.add_route(show_config, "/admin/config")
@@ -114,38 +123,42 @@
         confirm_dead, "/admin/stewards/<deployment:str>/dead", methods=["POST"]
     )
     app.error_handler.add(SanicException, _on_http_error)
-    app.error_handler.add(Exception, lambda request, error: _on_fault(host, error))
+    app.error_handler.add(
+        Exception, lambda request, error: _on_unhandled_error(host, error)
+    )
     return app
 
 
 def _on_http_error(request, error):
-    """Answer what the HTTP library itself refuses."""
-    return _error(getattr(error, "status_code", 500), "malformed", str(error)[:200])
+    """Return the error answer for a request that the HTTP library rejected."""
+    return _error_response(
+        getattr(error, "status_code", 500), "malformed", str(error)[:200]
+    )
 
 
-def _on_fault(host, error):
-    """Answer a fault of ours without its traceback."""
+def _on_unhandled_error(host, error):
+    """Log an unhandled exception and answer without its traceback."""
     host.log("error", "handler_failed", error=repr(error))
-    return _error(500, "internal", "internal error; see the host's log")
+    return _error_response(500, "internal", "internal error; see the host's log")
 
 
-def _json(body, status=200):
-    """Return a JSON answer."""
+def _json_response(body, status=200):
+    """Return a JSON response."""
     return raw(json.dumps(body).encode(), status=status, content_type=JSON)
 
 
-def _error(status, code, message):
-    """Return an error answer."""
-    return _json({"error": {"code": code, "message": message}}, status)
+def _error_response(status, code, message):
+    """Return a JSON error response."""
+    return _json_response({"error": {"code": code, "message": message}}, status)
 
 
-def _problems(problems):
-    """Return problems in the form of the answer."""
+def _problem_dicts(problems):
+    """Return validation problems as dicts for a JSON answer."""
     return [problem._asdict() for problem in problems]
 
 
 def _read_object(request):
-    """Return the body as an object; an empty one when it is none."""
+    """Return the body as a dict; an empty one unless it is a JSON object."""
     try:
         body = json.loads(request.body)
     except (ValueError, RecursionError):
@@ -154,7 +167,7 @@
 
 
 def _read_patch(request):
-    """Return the checked fields of a patch, or what is wrong with them."""
+    """Return the validated fields of a patch, or an error message."""
     body = _read_object(request)
     fields = {}
     for name, kind in PATCH_FIELDS.items():
@@ -169,10 +182,12 @@
     return fields
 
 
-def _patch_answer(outcome):
-    """Return the HTTP answer for how a patch ended."""
+def _patch_response(outcome):
+    """Return the HTTP response for the outcome of a patch."""
     if isinstance(outcome, PatchAccepted):
-        return _json({"number": outcome.number, "changed": list(outcome.changed)})
+        return _json_response(
+            {"number": outcome.number, "changed": list(outcome.changed)}
+        )
     if isinstance(outcome, PatchOutdated):
         message = (
             f"version {outcome.number} is in force; look at what changed and send the "
@@ -183,18 +198,18 @@
             "number": outcome.number,
             "changed_since": list(outcome.changed_since),
         }
-        return _json(body, 409)
+        return _json_response(body, 409)
     if isinstance(outcome, PatchInvalid):
         body = {
             "error": {"code": "invalid", "message": "the patched document is invalid"},
-            "problems": _problems(outcome.problems),
+            "problems": _problem_dicts(outcome.problems),
         }
-        return _json(body, 422)
+        return _json_response(body, 422)
     if isinstance(outcome, PatchUnavailable):
         message = "the platform can't be reached; the patch had and has no effect"
-        return _error(503, "unavailable", message)
+        return _error_response(503, "unavailable", message)
     message = (
         "the platform gave no answer; send the same patch_id again to learn whether "
         "the patch was accepted"
     )
-    return _error(503, "unknown_outcome", message)
+    return _error_response(503, "unknown_outcome", message)
--- a/libs/daemon/gypsumusher_daemon/order_sender.py
+++ b/libs/daemon/gypsumusher_daemon/order_sender.py
@@ -1,4 +1,4 @@
-"""Carries a steward's orders to engines and their answers back."""
+"""Sends a steward's orders to engines and reads their answers."""
 
 import json
 
@@ -9,11 +9,13 @@
 
 __all__ = ["OrderSender"]
 
+# Bounds the memory that an engine's answer can take.
 ANSWER_BYTES_MAX = 65_536
-# States of an order that an engine names; anything else is no usable answer.
+# Valid states of an order in an engine's answer.
 ORDER_STATES = frozenset({"accepted", "running", "done", "failed", "none"})
 REFUSALS = frozenset({"busy", "stale_term"})
-NEVER_TAKEN_STATUSES = frozenset({400, 404, 405, 422, 501})
+# Statuses with which an engine rejects an order permanently.
+REJECTING_STATUSES = frozenset({400, 404, 405, 422, 501})
 
 
 class LeaseEnded(aiohttp.ClientError):
@@ -21,15 +23,15 @@
 
 
 class OrderSender:
-    """Sends orders, each on a connection opened for it alone.
+    """Sends orders to engines, each on a new connection opened under a valid lease.
 
-    Failure guarded against: this process is paused between its look at the lease
-    and its write, another steward takes over, and the process wakes and writes. It
-    shows as an engine that follows two stewards. The connection is opened first and
-    the clock is read after that, so a pause before the look is seen by the look, and
-    a pause after it leaves the order on a connection that was opened under the old
-    lease, which the engine closes after its own time limit, for which the new
-    steward waits.
+    Guards against an engine that follows two stewards: this process could be paused
+    between checking its lease and writing the order, another steward takes over, and
+    this process resumes and writes. Therefore the connection is opened first and the
+    lease is checked after that. A pause before the check is detected by the check. A
+    pause after it leaves the order on a connection that was opened under the old
+    lease; the engine closes that connection after its own time limit, and the new
+    steward waits for this limit.
 
     Parameters
     ----------
@@ -63,18 +65,18 @@
             await self._session.close()
 
     async def send(self, address, order):
-        """Send an order; return the event that answers it.
+        """Send an order; return the event for its result.
 
         Parameters
         ----------
         address : str
             ``IP:PORT`` of the engine.
         order : SendOrder
-            What to send, and until when it may be written.
+            The order, and the time after which it must not be written.
 
         Returns
         -------
-        OrderAnswer or OrderFailed
+        OrderReply or OrderCallFailed
         """
         body = {"order_id": order.order_id, "term": order.term, "goal": order.goal}
         try:
@@ -86,7 +88,7 @@
                 allow_redirects=False,
             ) as response:
                 answer = await _read_json(response)
-                return _answer_event(order, response.status, answer)
+                return _result_event(order, response.status, answer)
         except (
             LeaseEnded,
             aiohttp.ClientConnectorError,
@@ -97,14 +99,18 @@
             return OrderCallFailed(order.engine, order.order_id, True, order.tag)
 
     async def query(self, address, query):
-        """Ask an engine for its newest order; return the event that answers.
+        """Query an engine for its newest order; return the event for the result.
 
         Parameters
         ----------
         address : str
             ``IP:PORT`` of the engine.
         query : QueryOrder
-            The question.
+            The query.
+
+        Returns
+        -------
+        OrderReply or OrderCallFailed
         """
         try:
             async with self._session.get(
@@ -113,19 +119,19 @@
                 answer = await _read_json(response)
                 if response.status != 200:
                     return OrderCallFailed(query.engine, "", True, query.tag)
-                return _order_state(query, answer)
+                return _order_reply(query, answer)
         except (aiohttp.ClientError, TimeoutError, OSError, ValueError):
             return OrderCallFailed(query.engine, "", False, query.tag)
 
     async def _check_lease(self, session, context, parameters):
-        """Refuse to write on a connection that came after the lease's end."""
+        """Raise LeaseEnded when the lease ended before the connection was open."""
         not_after_s = context.trace_request_ctx
         if not_after_s is not None and self._clock() >= not_after_s:
             raise LeaseEnded("the lease ended before the order was written")
 
 
 async def _read_json(response):
-    """Return the JSON of a small answer."""
+    """Return the JSON object of an answer of at most `ANSWER_BYTES_MAX`."""
     raw = await read_limited(response, ANSWER_BYTES_MAX)
     answer = json.loads(raw)
     if not isinstance(answer, dict):
@@ -133,24 +139,24 @@
     return answer
 
 
-def _answer_event(order, status, answer):
+def _result_event(order, status, answer):
     """Return the event for an engine's answer to an order."""
     if status in (200, 202):
-        return _order_state(order, answer)
+        return _order_reply(order, answer)
     code = answer.get("error", {}).get("code")
     if status == 409 and code in REFUSALS:
         return OrderReply(order.engine, order.order_id, code, order.tag)
-    if status in NEVER_TAKEN_STATUSES:
-        # The engine will never take this order, whoever sends it again.
+    if status in REJECTING_STATUSES:
+        # Sending the order again can't succeed, whichever steward does it.
         return OrderReply(order.engine, order.order_id, "failed", order.tag, str(code))
     return OrderCallFailed(order.engine, order.order_id, True, order.tag)
 
 
-def _order_state(effect, answer):
-    """Return the event for an order that an engine tells of."""
+def _order_reply(effect, answer):
+    """Return the event for an answer that reports the state of an order."""
     state = answer.get("state")
     if state not in ORDER_STATES:
-        raise ValueError(f"unknown state of an order: {state!r:.80}")
+        raise ValueError(f"unknown order state: {state!r:.80}")
     order_id = answer.get("order_id") or ""
     detail = str(answer.get("detail") or "")[:200]
     return OrderReply(effect.engine, order_id, state, effect.tag, detail)
--- a/libs/daemon/gypsumusher_daemon/peer_messages.py
+++ b/libs/daemon/gypsumusher_daemon/peer_messages.py
@@ -1,60 +1,65 @@
-"""What this host tells the other entry hosts, and what it does with their news."""
+"""Builds this host's state updates and handles the messages of its peers."""
 
 import asyncio
 
 from gypsumusher_daemon.cell_members import gossip_hosts
 from gypsumusher_daemon.hosts_directory import HostRecord
-from gypsumusher_daemon.peer_network import CellParts
+from gypsumusher_daemon.peer_network import PeerHandlers
 
-__all__ = ["PeerNews"]
+__all__ = ["PeerMessages"]
 
-SEED_PAUSE_S = 0.5
+# Pause between rounds of requests to the seeds while no other host is known.
+SEED_RETRY_S = 0.5
 
 
-class PeerNews:
-    """This host's side of the talk in its cells.
+class PeerMessages:
+    """Builds and handles the messages that a host exchanges with its peers.
 
     Parameters
     ----------
     host : EntryHost
-        Its parts are told what peers say.
+        Its components supply the state and receive what peers send.
     """
 
     def __init__(self, host):
         self._host = host
 
-    def parts(self):
-        """Return what the cell needs of its host."""
-        return CellParts(
-            self.choose_gossip,
-            self.tell,
-            self.tell_short,
-            self.hear,
-            self.lose,
-            self.answer,
+    def handlers(self):
+        """Return the callbacks for the peer network."""
+        return PeerHandlers(
+            self.choose_hosts,
+            self.build_gossip,
+            self.build_summary,
+            self.on_gossip,
+            self.on_peer_lost,
+            self.answer_request,
             self.introduce,
         )
 
-    def choose_gossip(self):
-        """Return the hosts to gossip with."""
+    def choose_hosts(self):
+        """Return the names of the hosts to gossip with."""
         hosts = [(r.name, r.zone) for r in self._host.directory.records.values()]
         return gossip_hosts(self._host.document, hosts, self._host.name)
 
-    async def find_seeds(self):
-        """Ask the seeds for the other hosts while the platform doesn't tell."""
+    async def contact_seeds(self):
+        """Request host records from the seeds until another host is known."""
         while len(self._host.directory.records) < 2:
             for address in self._host.settings["peers.seeds"]:
-                self._learn_hosts(
-                    await self._host.cell.ask_seed(address, self._greeting())
+                self._add_records(
+                    await self._host.peer_network.request_address(
+                        address, self._introduction()
+                    )
                 )
-            await asyncio.sleep(SEED_PAUSE_S)
+            await asyncio.sleep(SEED_RETRY_S)
 
     async def introduce(self, peer):
-        """Tell a host that doesn't know this one of all that are known here."""
-        self._learn_hosts(await self._host.cell.ask(peer, self._greeting()))
+        """Exchange host records with a peer."""
+        self._add_records(
+            await self._host.peer_network.request(peer, self._introduction())
+        )
 
-    def _greeting(self):
-        """Return the message by which hosts get to know each other."""
+    def _introduction(self):
+        """Return the message with this host's record and all records known here."""
         records = [record._asdict() for record in self._host.directory.records.values()]
         return {
             "type": "introduce",
@@ -62,74 +67,78 @@
             "records": records,
         }
 
-    def _learn_hosts(self, message):
-        """Take another host's record and those that it knows."""
+    def _add_records(self, message):
+        """Add the records of an introduction to the directory."""
         message = message or {}
         if message.get("record") is not None:
-            self._host.directory.learn(HostRecord(**message["record"]), first_hand=True)
+            self._host.directory.add_from_peer(
+                HostRecord(**message["record"]), is_own=True
+            )
         for record in message.get("records", ()):
             if record["name"] != self._host.name:
-                self._host.directory.learn(HostRecord(**record), first_hand=False)
+                self._host.directory.add_from_peer(HostRecord(**record), is_own=False)
 
-    def tell(self):
-        """Return this host's news for its peers."""
+    def build_gossip(self):
+        """Return this host's full state update for its peers."""
         loads, demands = {}, {}
         for name, scheduler in self._host.dispatcher.schedulers.items():
             load = scheduler.own_load()
             if load:
                 loads[name] = load
-            if name in self._host.reports.deployments:
+            if name in self._host.report_poller.deployments:
                 demands[name] = scheduler.demand()
-        return {**self.tell_short(), "loads": loads, "demands": demands}
+        return {**self.build_summary(), "loads": loads, "demands": demands}
 
-    def tell_short(self):
-        """Return the numbers by which peers see that they missed something."""
+    def build_summary(self):
+        """Return the counts by which peers detect that they missed something."""
         return {
-            "config": self._host.number,
+            "config": self._host.config_number,
             "convicted": len(self._host.quarantine.convictions),
         }
 
-    def hear(self, peer, gossip):
-        """Take another host's news."""
+    def on_gossip(self, peer, gossip):
+        """Handle a state update from a peer; fetch what this host has missed."""
         loads = gossip.get("loads")
         if loads is not None:
             for deployment in self._host.dispatcher.schedulers:
-                self._host.dispatcher.apply(
+                self._host.dispatcher.call_scheduler(
                     deployment, "on_peer_load", peer, loads.get(deployment, {})
                 )
-        self._host.stewards.hear(peer, gossip.get("demands", {}))
+        self._host.stewards.on_peer_demands(peer, gossip.get("demands", {}))
         self._host.endpoints.publish()
         if gossip.get("convicted", 0) > len(self._host.quarantine.convictions):
-            self._host.track(asyncio.ensure_future(self._convictions_from(peer)))
-        if gossip.get("config", 0) > self._host.number:
-            self._host.track(asyncio.ensure_future(self._head_from(peer)))
+            self._host.track(asyncio.ensure_future(self._fetch_convictions(peer)))
+        if gossip.get("config", 0) > self._host.config_number:
+            self._host.track(asyncio.ensure_future(self._fetch_head(peer)))
 
-    def lose(self, peer):
-        """Forget the load of a host that is suspected or gone."""
+    def on_peer_lost(self, peer):
+        """Drop the load received from a host that is suspected or removed."""
         for deployment in self._host.dispatcher.schedulers:
-            self._host.dispatcher.apply(deployment, "on_peer_load", peer, {})
+            self._host.dispatcher.call_scheduler(deployment, "on_peer_load", peer, {})
 
-    async def _convictions_from(self, peer):
-        """Ask a host that knows more convictions for them."""
-        answer = await self._host.cell.ask(peer, {"type": "convictions"})
+    async def _fetch_convictions(self, peer):
+        """Fetch the convictions of a peer that has more of them than this host."""
+        answer = await self._host.peer_network.request(peer, {"type": "convictions"})
         if answer:
-            self._host.crashing.hear_convictions(answer.get("convictions", {}))
+            self._host.crashing_requests.on_peer_convictions(
+                answer.get("convictions", {})
+            )
 
-    async def _head_from(self, peer):
-        """Ask a host that has a newer configuration for its head."""
-        answer = await self._host.cell.ask(peer, {"type": "head"})
+    async def _fetch_head(self, peer):
+        """Fetch the configuration head of a peer that has a newer one."""
+        answer = await self._host.peer_network.request(peer, {"type": "head"})
         if answer and isinstance(answer.get("head"), dict):
-            self._host.configuration.offer(answer["head"])
+            self._host.configuration.receive_head(answer["head"])
 
-    async def section_from_peers(self, section_hash):
-        """Return a section of the configuration from any peer that has it."""
-        answer = await self._host.cell.ask_any(
+    async def fetch_section(self, section_hash):
+        """Return a configuration section from the first peer that has it, or None."""
+        answer = await self._host.peer_network.request_any(
             {"type": "section", "hash": section_hash}
         )
         return answer.get("value") if answer else None
 
-    async def answer(self, peer, message):
-        """Answer another host's question."""
+    async def answer_request(self, peer, message):
+        """Answer a peer's message other than gossip."""
         kind = message.get("type")
         if kind == "head":
             return {"head": self._host.configuration.replica.head}
@@ -137,19 +146,21 @@
             value = self._host.configuration.section(message.get("hash"))
             return {} if value is None else {"value": value}
         if kind == "resumed":
-            self._host.abandoned.taken_up(message.get("stream_id"))
+            self._host.abandoned_streams.on_resumed(message.get("stream_id"))
             return {}
         if kind == "crash":
-            self._host.crashing.hear_crash(
+            self._host.crashing_requests.on_peer_crash(
                 message.get("suspicions", {}), message.get("past_prompt", [])
             )
             return {}
         if kind == "convictions":
-            self._host.crashing.hear_convictions(message.get("convictions", {}))
+            self._host.crashing_requests.on_peer_convictions(
+                message.get("convictions", {})
+            )
             return {"convictions": dict(self._host.quarantine.convictions)}
         if kind == "introduce":
-            self._learn_hosts(message)
-            return self._greeting()
+            self._add_records(message)
+            return self._introduction()
         self._host.log(
             "warning", "peer_message_unknown", peer=peer, kind=str(kind)[:40]
         )
