--- a/libs/daemon/gypsumusher_daemon/peer_network.py
+++ b/libs/daemon/gypsumusher_daemon/peer_network.py
@@ -1,4 +1,4 @@
-"""Talks to the other entry hosts: probes, gossip, and what they ask of this one."""
+"""Links to the other entry hosts: probes, gossip and requests between peers."""
 
 import asyncio
 from typing import NamedTuple
@@ -9,52 +9,54 @@
 from gypsumusher_coordination.membership import LEAVING, LIVE, SUSPECT
 from gypsumusher_peers import Identity, PeerLink, PeerServer
 
-__all__ = ["LEAVING", "LIVE", "SUSPECT", "Cell", "CellParts"]
+__all__ = ["LEAVING", "LIVE", "SUSPECT", "PeerNetwork", "PeerHandlers"]
 
-# The members are looked at this many times in one gossip interval, so that news go
-# out soon after they come.
-TICKS_AN_INTERVAL = 4
-NEWS_INTERVAL_S = 0.25
-# A host that is suspected for this long was replaced without a planned stop; its
-# record is deleted. If it lives all the same, it publishes itself again.
-FORGET_AFTER_S = 600.0
+# Membership ticks per gossip interval, so that a state update leaves soon after the
+# change it reports.
+TICKS_PER_INTERVAL = 4
+# Longest interval of probes to a host that has not acknowledged a state update.
+UPDATE_INTERVAL_MAX_S = 0.25
+# A host suspected for this long is taken to be replaced without a planned stop; its
+# record is deleted. If it is alive after all, it publishes its record again.
+DEAD_HOST_TIMEOUT_S = 600.0
 
 
-class CellParts(NamedTuple):
-    """What a cell needs of its host.
+class PeerHandlers(NamedTuple):
+    """Callbacks through which the peer network builds and handles messages.
 
     Attributes
     ----------
-    choose : callable
-        ``choose()`` returns the names of the hosts to gossip with.
-    tell : callable
-        ``tell()`` returns what this host gossips with its own probes.
-    tell_short : callable
-        ``tell_short()`` returns what goes into answers: the rest comes with the
-        other host's next probe, and 2 KB/s a node is little.
-    hear : callable
-        ``hear(host, gossip)`` takes what another host gossips.
-    lose : callable
-        ``lose(host)`` is called when a host is suspected or gone: its word on
-        anything is out of date.
-    answer : coroutine function
-        ``await answer(host, message)`` answers any other message.
+    choose_hosts : callable
+        ``choose_hosts()`` returns the names of the hosts to gossip with.
+    build_gossip : callable
+        ``build_gossip()`` returns the state update that goes out with a probe.
+    build_summary : callable
+        ``build_summary()`` returns the short state update that goes into the answer
+        to a probe. The full one follows with this host's own next probe, which keeps
+        gossip traffic near 2 KB/s per host.
+    on_gossip : callable
+        ``on_gossip(host, gossip)`` handles a state update from a host.
+    on_peer_lost : callable
+        ``on_peer_lost(host)`` is called when a host is suspected or removed, to drop
+        the state received from it.
+    answer_request : coroutine function
+        ``await answer_request(host, message)`` answers a message other than gossip.
     introduce : coroutine function
-        ``await introduce(host)`` tells a host, which asked for it, of this one and
-        the others.
+        ``await introduce(host)`` sends the known host records to a host that does not
+        have this one's record.
     """
 
-    choose: object
-    tell: object
-    tell_short: object
-    hear: object
-    lose: object
-    answer: object
+    choose_hosts: object
+    build_gossip: object
+    build_summary: object
+    on_gossip: object
+    on_peer_lost: object
+    answer_request: object
     introduce: object
 
 
-class Cell:
-    """This host's links to the other entry hosts.
+class PeerNetwork:
+    """Membership of the entry hosts and this host's links to them.
 
     Parameters
     ----------
@@ -63,47 +65,48 @@
     keys : KeyRing
         Shared secrets.
     directory : HostsDirectory
-        Where the other hosts are.
+        Addresses of the other hosts.
     clock, log : callable
         Boot-time clock and structured log.
-    parts : CellParts
-        The host's side of it.
+    handlers : PeerHandlers
+        Callbacks that build and handle messages.
 
     Attributes
     ----------
-    heard_s : dict
-        When each host was last heard, on this host's clock: the time at which a
-        probe that was answered went out, or a host's own probe came in.
-    numbers : dict
-        The configuration that each host last said to have in force.
-    membership : Membership
-        Who answers, and which endpoints are leaving; there from `start` on.
+    last_received_s : dict
+        By host, the time on this host's clock as of which its last update is known
+        to be current: when the probe that it answered was sent, or when its own
+        probe arrived.
+    config_numbers : dict
+        By host, number of the configuration that it last reported to be in force.
+    membership : Membership or None
+        Which hosts answer and which endpoints are leaving; set by `start`.
     """
 
-    def __init__(self, settings, keys, directory, clock, log, parts):
-        self.heard_s = {}
-        self.numbers = {}
+    def __init__(self, settings, keys, directory, clock, log, handlers):
+        self.last_received_s = {}
+        self.config_numbers = {}
         self.membership = None
-        self._suspected_s = {}
+        self._suspected_since_s = {}
         self._settings = settings
         self._keys = keys
         self._directory = directory
         self._clock = clock
         self._log = log
-        self._parts = parts
+        self._handlers = handlers
         self._identity = None
         self._server = None
         self._links = {}
         self._tasks = set()
 
     async def start(self, name, incarnation):
-        """Listen, and begin to gossip; return the bound port."""
+        """Open the peers' listener and start gossiping; return the bound port."""
         self._identity = Identity(name, incarnation)
         interval_s = self._settings["peers.gossip_s"]
         policy = MembershipPolicy(
             probe_interval_s=interval_s,
             probe_timeout_s=2 * self._settings["peers.timeout_s"],
-            update_interval_s=min(interval_s, NEWS_INTERVAL_S),
+            update_interval_s=min(interval_s, UPDATE_INTERVAL_MAX_S),
         )
         self.membership = Membership(name, incarnation, policy)
         self._server = PeerServer(
@@ -111,11 +114,11 @@
         )
         address = self._settings["peers.address"]
         port = await self._server.start(address, self._settings["peers.port"])
-        self._spawn(self._gossip_on())
+        self._spawn(self._gossip_loop())
         return port
 
     async def close(self):
-        """End the links and the listener."""
+        """Close the links and the listener."""
         tasks = list(self._tasks)
         for task in tasks:
             task.cancel()
@@ -126,39 +129,39 @@
             await self._server.close()
 
     def state(self, name):
-        """Return live, suspect or leaving for a host; others' hosts count as live."""
+        """Return live, suspect or leaving; a host without a link counts as live."""
         if name not in self._links:
             return LIVE
         return self.membership.host_state(name)
 
     def set_leaving(self):
-        """Tell the other hosts from now on that this one is leaving."""
+        """Report this host as leaving in every state update from now on."""
         self.membership.set_leaving()
 
     @property
     def members(self):
-        """Names of the hosts that this one gossips with."""
+        """Names of the hosts that this host gossips with."""
         return list(self._links)
 
     def live_hosts(self):
-        """Return (name, zone) of the hosts that callers may be sent to."""
+        """Return (name, zone) of the hosts with a record that are live."""
         live = []
         for name, record in self._directory.records.items():
             if self.state(name) == LIVE:
                 live.append((name, record.zone))
         return live
 
-    def follow_directory(self):
-        """Open links to the hosts to gossip with, close the others."""
+    def update_links(self):
+        """Open links to the hosts to gossip with and close all others."""
         wanted = {}
-        for name in self._parts.choose():
+        for name in self._handlers.choose_hosts():
             record = self._directory.records.get(name)
             if record is not None:
                 wanted[name] = record.peers
         for name in list(self._links):
             if self._links[name][0] != wanted.get(name):
                 _, link = self._links.pop(name)
-                self._forget(name)
+                self._drop_peer_state(name)
                 self._spawn(link.close())
         for name, address in wanted.items():
             if name not in self._links:
@@ -169,129 +172,133 @@
             incarnations[name] = self._directory.records[name].incarnation
         self.membership.set_hosts(self._clock(), incarnations)
 
-    async def ask(self, name, message):
-        """Ask one host something; None when it gives no answer in time."""
+    async def request(self, name, message):
+        """Send a request to a host; return its answer, or None without one in time."""
         if name not in self._links:
             return None
-        return await self._ask(self._links[name][1], message)
+        return await self._request(self._links[name][1], message)
 
-    async def ask_any(self, message):
-        """Ask the hosts in turn; return the first answer that isn't empty."""
+    async def request_any(self, message):
+        """Send a request to the hosts in turn; return the first non-empty answer."""
         for name in list(self._links):
             if self.state(name) == SUSPECT:
                 continue
-            answer = await self.ask(name, message)
+            answer = await self.request(name, message)
             if answer:
                 return answer
         return None
 
-    async def ask_seed(self, address, message):
-        """Ask whoever listens at an address; None when it gives no answer."""
+    async def request_address(self, address, message):
+        """Send a request to the host at an address; return its answer or None."""
         link = self._open_link(address, None)
         try:
-            return await self._ask(link, message)
+            return await self._request(link, message)
         finally:
             await link.close()
 
-    async def tell_all(self, message):
-        """Send all hosts something that can't wait for the next gossip."""
-        asked = [self.ask(name, message) for name in list(self._links)]
+    async def broadcast(self, message):
+        """Send a message to all linked hosts at once, outside the gossip schedule."""
+        asked = [self.request(name, message) for name in list(self._links)]
         await asyncio.gather(*asked)
 
     async def gossip_now(self):
-        """Gossip with all hosts at once, beside the ordinary probes."""
-        message = {**self._parts.tell(), "type": "gossip"}
-        await self.tell_all(message)
+        """Send a state update to all linked hosts at once."""
+        message = {**self._handlers.build_gossip(), "type": "gossip"}
+        await self.broadcast(message)
 
     def _spawn(self, coroutine):
-        """Run something beside the rest."""
+        """Run a coroutine as a task that `close` cancels."""
         task = asyncio.ensure_future(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
     def _open_link(self, address, name):
-        """Return a link to a host; it connects on its own."""
+        """Return a link to a host; a background task connects it."""
         ip, port = address.rsplit(":", 1)
         link = PeerLink(ip, int(port), self._identity, self._keys, expected_host=name)
         self._spawn(link.start())
         return link
 
-    async def _ask(self, link, message):
-        """Return the answer to a message, or None."""
+    async def _request(self, link, message):
+        """Send a message over a link; return the answer, or None on a failure."""
         result = await link.request(message, self._settings["peers.timeout_s"])
         return result.unwrap() if isinstance(result, Success) else None
 
-    async def _gossip_on(self):
-        """Probe the members as they are due."""
+    async def _gossip_loop(self):
+        """Send due probes and update the state of silent hosts, until cancelled."""
         while True:
-            await asyncio.sleep(self._settings["peers.gossip_s"] / TICKS_AN_INTERVAL)
+            await asyncio.sleep(self._settings["peers.gossip_s"] / TICKS_PER_INTERVAL)
             for probe in self.membership.tick(self._clock()):
                 self._spawn(self._probe(probe))
-            self._note_suspects()
-            self._forget_dead()
+            self._update_suspects()
+            self._delete_dead_records()
 
     async def _probe(self, probe):
-        """Send one probe with this host's news, and take the answer."""
+        """Send a probe with this host's state update and handle its answer."""
         name = probe.host
-        message = {**self._parts.tell(), "type": "gossip", "member": probe.message}
+        message = {
+            **self._handlers.build_gossip(),
+            "type": "gossip",
+            "member": probe.message,
+        }
         sent_s = self._clock()
-        answer = await self.ask(name, message)
+        answer = await self.request(name, message)
         if answer is None:
             self.membership.on_probe_failed(self._clock(), name)
             return
         self.membership.on_probe_answer(self._clock(), name, answer["member"])
-        self._hear(name, answer, sent_s)
+        self._on_gossip(name, answer, sent_s)
         if answer.get("stranger"):
-            self._spawn(self._parts.introduce(name))
+            self._spawn(self._handlers.introduce(name))
 
-    def _note_suspects(self):
-        """Log who has become suspect or is back, and drop a suspect's word."""
+    def _update_suspects(self):
+        """Log hosts that became suspect or recovered; drop the state of suspects."""
         for name in self._links:
-            suspect = self.state(name) == SUSPECT
-            known = name in self._suspected_s
-            if suspect and not known:
+            is_suspect = self.state(name) == SUSPECT
+            was_suspect = name in self._suspected_since_s
+            if is_suspect and not was_suspect:
                 self._log("warning", "host_suspected", peer=name)
-                self._suspected_s[name] = self._clock()
-                self._parts.lose(name)
-            if known and not suspect:
+                self._suspected_since_s[name] = self._clock()
+                self._handlers.on_peer_lost(name)
+            if was_suspect and not is_suspect:
                 self._log("info", "host_back", peer=name)
-                del self._suspected_s[name]
+                del self._suspected_since_s[name]
 
-    def _hear(self, name, gossip, heard_s):
-        """Take another host's news, known to be no older than ``heard_s``."""
-        self.heard_s[name] = heard_s
-        self.numbers[name] = gossip.get("config", 0)
-        self._parts.hear(name, gossip)
+    def _on_gossip(self, name, gossip, received_s):
+        """Handle a host's state update that was current at ``received_s``."""
+        self.last_received_s[name] = received_s
+        self.config_numbers[name] = gossip.get("config", 0)
+        self._handlers.on_gossip(name, gossip)
 
-    def _forget_dead(self):
-        """Have the records of hosts deleted that have been silent for long."""
+    def _delete_dead_records(self):
+        """Delete the records of hosts suspected for over `DEAD_HOST_TIMEOUT_S`."""
         now_s = self._clock()
-        for name, suspected_s in list(self._suspected_s.items()):
-            if now_s - suspected_s < FORGET_AFTER_S:
+        for name, suspected_since_s in list(self._suspected_since_s.items()):
+            if now_s - suspected_since_s < DEAD_HOST_TIMEOUT_S:
                 continue
-            self._suspected_s[name] = now_s
+            self._suspected_since_s[name] = now_s
             record = self._directory.records.get(name)
             if record is not None:
                 self._log("warning", "host_forgotten", peer=name)
                 self._spawn(self._directory.remove(record))
 
     async def _on_request(self, peer, message):
-        """Answer another host."""
+        """Answer a message from a host."""
         if message.get("type") != "gossip":
-            return await self._parts.answer(peer.host, message)
+            return await self._handlers.answer_request(peer.host, message)
         answer = {}
         if "member" in message:
             answer["member"] = self.membership.on_probe(
                 self._clock(), peer.host, message["member"]
             )
-        self._hear(peer.host, message, self._clock())
-        # A host that started while the platform is down knows nobody, but those who
-        # knew it before gossip with it. It asks them who they are.
-        stranger = peer.host not in self._directory.records
-        return {**answer, **self._parts.tell_short(), "stranger": stranger}
+        self._on_gossip(peer.host, message, self._clock())
+        # A host that starts while the platform is down has no records, but hosts
+        # that have its record gossip with it. It asks them to introduce themselves.
+        unknown_sender = peer.host not in self._directory.records
+        return {**answer, **self._handlers.build_summary(), "stranger": unknown_sender}
 
     def _on_error(self, error):
-        """Log what went wrong with a peer."""
+        """Log an error of a peer connection."""
         self._log(
             "warning",
             "peer_error",
@@ -301,12 +308,12 @@
             detail=error.detail,
         )
 
-    def _forget(self, name):
-        """Drop what was known of a host that is no longer talked to."""
+    def _drop_peer_state(self, name):
+        """Drop the state received from a host that this host has no link to now."""
         for table in (
-            self.heard_s,
-            self.numbers,
-            self._suspected_s,
+            self.last_received_s,
+            self.config_numbers,
+            self._suspected_since_s,
         ):
             table.pop(name, None)
-        self._parts.lose(name)
+        self._handlers.on_peer_lost(name)
--- a/libs/daemon/gypsumusher_daemon/readiness.py
+++ b/libs/daemon/gypsumusher_daemon/readiness.py
@@ -1,4 +1,4 @@
-"""Whether this host may take new requests, and if not, why."""
+"""Decides whether this host may serve requests, and with which refusal if not."""
 
 from gypsumusher_coordination import last_contact_s, may_serve
 from gypsumusher_daemon.peer_network import LIVE
@@ -8,29 +8,30 @@
 
 STARTING = "starting"
 STOPPED = "stopped"
+# Retry-After of a host that is not ready, and of one that is full or stopping.
 RETRY_STARTING_S = 1.0
 RETRY_BUSY_S = 1.0
 
 
 class Readiness:
-    """Judges this host's state for each request.
+    """Checks whether a host may serve requests in its current state.
 
     Parameters
     ----------
     host : EntryHost
-        Its state, configuration and peers are looked at.
+        The host whose state, configuration and peers are checked.
     """
 
     def __init__(self, host):
         self._host = host
-        self._cut_off_logged = False
+        self._was_cut_off = False
 
     def is_ready(self):
-        """Return whether callers may be sent here."""
-        return self._host.state == LIVE and self.refusal_of_state() is None
+        """Return whether new callers may be directed to this host."""
+        return self._host.state == LIVE and self.current_refusal() is None
 
-    def refusal_of_state(self):
-        """Return why this host serves nothing now, or None."""
+    def current_refusal(self):
+        """Return the refusal for every request in the current state, or None."""
         if self._host.state == STOPPED:
             return Refusal(
                 "stopping",
@@ -47,7 +48,7 @@
                 peer=self._host.name,
                 retry_after_s=RETRY_STARTING_S,
             )
-        if self._is_cut_off():
+        if self._config_may_be_outdated():
             return Refusal(
                 "not_ready",
                 "this host can't know which configuration is in force",
@@ -58,31 +59,31 @@
         if len(self._host.tasks) >= self._host.settings["callers.max_requests"]:
             return Refusal(
                 "overloaded",
-                "this host has too many requests",
+                "this host has reached its limit of requests",
                 step="state",
                 peer=self._host.name,
                 retry_after_s=RETRY_BUSY_S,
             )
         return None
 
-    def _is_cut_off(self):
-        """Return whether this host can't know which configuration is in force.
+    def _config_may_be_outdated(self):
+        """Return whether this host's configuration may be outdated; log a change.
 
-        See `gypsumusher_coordination.may_serve` for the decision and its reasons.
+        See `gypsumusher_coordination.may_serve` for the rule and its reasons.
         """
         settings = self._host.document["hosts"]
         now_s = self._host.clock()
         last_s = last_contact_s(
             now_s,
-            self._host.configuration.heard_platform_s,
-            self._host.cell.heard_s,
+            self._host.configuration.last_platform_contact_s,
+            self._host.peer_network.last_received_s,
             self._host.name,
-            [self._host.name, *self._host.cell.members],
+            [self._host.name, *self._host.peer_network.members],
         )
         cut_off = not may_serve(
             now_s, last_s, settings["stale_config"], settings["stale_limit_s"]
         )
-        if cut_off != self._cut_off_logged:
-            self._cut_off_logged = cut_off
+        if cut_off != self._was_cut_off:
+            self._was_cut_off = cut_off
             self._host.log("warning" if cut_off else "info", "cut_off", cut_off=cut_off)
         return cut_off
--- a/libs/daemon/gypsumusher_daemon/refusals.py
+++ b/libs/daemon/gypsumusher_daemon/refusals.py
@@ -1,4 +1,4 @@
-"""Refusals: the final answer to a request that the system does not serve."""
+"""Refusals: the answers to requests that are not served, and their HTTP form."""
 
 import json
 import math
@@ -37,14 +37,14 @@
     message : str
         What is wrong and what the caller can do.
     run : str
-        ``no`` when no byte of any attempt was written or each engine that got it
-        said that nothing ran; ``unknown`` otherwise.
+        ``no`` when no byte of any attempt was written or each engine that received
+        one reported that nothing ran; ``unknown`` otherwise.
     step : str
-        Where in the daemon it arose.
+        Processing step of the daemon that refused.
     peer : str or None
-        The other process concerned.
+        The other process involved.
     retry_after_s : float or None
-        When to come back; None when coming back can't help.
+        When to retry; None when a retry can't help.
     """
 
     code: str
@@ -79,7 +79,7 @@
 
 
 def refusal_headers(refusal):
-    """Return the HTTP headers that go with a refusal.
+    """Return the HTTP headers of a refusal.
 
     Parameters
     ----------
@@ -88,8 +88,9 @@
 
     Notes
     -----
-    Stock clients repeat a request by themselves on 409, 429 and 5xx. That is wanted
-    only where nothing ran and coming back can help, so ``X-Should-Retry`` says so.
+    OpenAI client libraries retry on their own after 409, 429 and 5xx, unless
+    ``X-Should-Retry`` is false. A retry is wanted only when nothing ran and a later
+    try can succeed.
     """
     headers = {"Gypsumusher-Run": refusal.run}
     if refusal.retry_after_s is not None:
--- a/libs/daemon/gypsumusher_daemon/report_poller.py
+++ b/libs/daemon/gypsumusher_daemon/report_poller.py
@@ -1,4 +1,4 @@
-"""Polls the engines of this host's deployments for load reports and cache events."""
+"""Polls engines for their load reports and cache events."""
 
 import asyncio
 
@@ -8,27 +8,28 @@
 
 __all__ = ["ReportPoller"]
 
-# An engine answers in milliseconds; one that takes a second is stuck, and three such
-# polls make it silent within 5 s at the default interval.
+# An engine answers a poll in milliseconds; one that takes a second is stuck. Three
+# such polls mark it silent within 5 s at the default interval.
 POLL_TIMEOUT_S = 1.0
-# Callers keep an answer of /v1/entry for seconds; one that came to the wrong host
-# asks again well before this.
-VISIT_S = 60.0
+# How long the engines of a deployment outside this host's cells are polled after a
+# request for it. Callers cache an answer of /v1/entry for seconds, so a caller that
+# came to this host asks for the right ones well before this.
+TEMPORARY_POLLING_S = 60.0
 
 
 class ReportPoller:
-    """One task an engine that reads its load and its cache events.
+    """Runs one task per engine that reads its load reports and cache events.
 
     Parameters
     ----------
     sessions : EngineSessions
-        HTTP to endpoints.
+        HTTP sessions to endpoints.
     endpoints : EndpointTable
-        Gets the reports.
+        Receives the load reports.
     dispatcher : Dispatcher
-        Gets the cache events.
+        Receives the cache events.
     report_s, cache_events_s : float
-        Intervals.
+        Poll intervals of load reports and of cache events.
     clock : callable
         Boot-time clock.
     """
@@ -42,76 +43,76 @@
         self._report_s = report_s
         self._cache_events_s = cache_events_s
         self._clock = clock
-        self._own = frozenset()
-        self._visited_s = {}
+        self._cell_deployments = frozenset()
+        self._temporary_since_s = {}
         self._tasks = {}
 
     @property
     def deployments(self):
-        """The deployments whose engines are followed."""
-        return self._own | set(self._visited_s)
+        """The deployments whose engines are polled."""
+        return self._cell_deployments | set(self._temporary_since_s)
 
     def set_deployments(self, deployments):
-        """Follow the engines of these deployments, for as long as they are named.
+        """Set the deployments whose engines are polled permanently.
 
         Parameters
         ----------
         deployments : set of str
-            Those whose cell this host is in.
+            The deployments whose cell this host belongs to.
         """
-        self._own = frozenset(deployments)
-        self.follow_list()
+        self._cell_deployments = frozenset(deployments)
+        self.update_tasks()
 
-    def visit(self, deployment):
-        """Follow the engines of one more deployment for a while.
+    def poll_temporarily(self, deployment):
+        """Poll the engines of a deployment for `TEMPORARY_POLLING_S`.
 
         Parameters
         ----------
         deployment : str
-            One whose caller came here all the same.
+            A deployment outside this host's cells that a caller requested here.
         """
-        self._visited_s[deployment] = self._clock()
-        self.follow_list()
+        self._temporary_since_s[deployment] = self._clock()
+        self.update_tasks()
 
-    def follow_list(self):
-        """Start and stop tasks so that each engine to follow has one."""
+    def update_tasks(self):
+        """Start and stop tasks so that each engine to poll has one."""
         now_s = self._clock()
-        for deployment, visited_s in list(self._visited_s.items()):
-            if now_s - visited_s > VISIT_S:
-                del self._visited_s[deployment]
-        followed = self.deployments
+        for deployment, since_s in list(self._temporary_since_s.items()):
+            if now_s - since_s > TEMPORARY_POLLING_S:
+                del self._temporary_since_s[deployment]
+        polled = self.deployments
         wanted = {}
         for entry in self._endpoints.entries.values():
-            if entry.kind == "engine" and entry.group in followed:
+            if entry.kind == "engine" and entry.group in polled:
                 wanted[(entry.name, entry.address)] = entry
         for key in list(self._tasks):
             if key not in wanted:
                 self._tasks.pop(key).cancel()
         for key, entry in wanted.items():
             if key not in self._tasks:
-                self._tasks[key] = asyncio.ensure_future(self._poll(entry))
+                self._tasks[key] = asyncio.ensure_future(self._poll_loop(entry))
 
     async def close(self):
-        """Stop all tasks."""
+        """Cancel all tasks."""
         tasks = list(self._tasks.values())
         self._tasks.clear()
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
 
-    async def _poll(self, entry):
-        """Read reports and cache events of one engine for ever."""
+    async def _poll_loop(self, entry):
+        """Read load reports and cache events of one engine, until cancelled."""
         cache_sequence = 0
-        rounds_a_cache_read = max(1, round(self._cache_events_s / self._report_s))
-        rounds = 0
+        polls_per_cache_read = max(1, round(self._cache_events_s / self._report_s))
+        polls = 0
         while True:
-            if await self._read_report(entry) and rounds % rounds_a_cache_read == 0:
+            if await self._read_report(entry) and polls % polls_per_cache_read == 0:
                 cache_sequence = await self._read_cache_events(entry, cache_sequence)
-            rounds += 1
+            polls += 1
             await asyncio.sleep(self._report_s)
 
     async def _get(self, entry, path, **params):
-        """Return the JSON of a small answer, or None."""
+        """Return the JSON answer of an engine, or None on any failure."""
         try:
             async with self._sessions.shared.get(
                 f"http://{entry.address}{path}",
@@ -125,18 +126,18 @@
             return None
 
     async def _read_report(self, entry):
-        """Read one load report; True when there was one."""
+        """Read one load report; return False when the engine gave none."""
         answer = await self._get(entry, "/load")
         try:
             report, models = read_report(entry.name, answer)
         except (KeyError, TypeError, ValueError):
-            self._endpoints.on_silence(entry.name)
+            self._endpoints.on_poll_failed(entry.name)
             return False
         self._endpoints.on_report(report, models)
         return True
 
     async def _read_cache_events(self, entry, sequence):
-        """Read cache events after a sequence number; return the new number."""
+        """Read the cache events after a sequence number; return the newest number."""
         answer = await self._get(entry, "/cache/events", after=str(sequence))
         try:
             add, remove = [], []
@@ -147,14 +148,14 @@
         except (KeyError, TypeError, ValueError):
             return sequence
         if add or remove:
-            self._dispatcher.apply(
+            self._dispatcher.call_scheduler(
                 entry.group, "on_cache_events", entry.name, add, remove
             )
         return newest
 
 
 def read_report(name, answer):
-    """Return the load report and the models of an engine's answer.
+    """Return the load report and the models in an engine's answer.
 
     Parameters
     ----------
--- a/libs/daemon/gypsumusher_daemon/request_execution.py
+++ b/libs/daemon/gypsumusher_daemon/request_execution.py
@@ -1,4 +1,4 @@
-"""One request's way through the host: wait, send, retry, deliver, account."""
+"""Runs a model request: queues it, sends it to engines, retries and answers it."""
 
 import asyncio
 from typing import NamedTuple
@@ -16,39 +16,40 @@
     refusal_body,
     refusal_headers,
 )
-from gypsumusher_daemon.resume_tokens import StreamPlace, write_token
+from gypsumusher_daemon.resume_tokens import StreamLocation, write_token
 from gypsumusher_policy import Refuse
 
-__all__ = ["Exchange", "ExchangeContext", "deliver_refusal"]
+__all__ = ["RequestExecution", "ExecutionContext", "deliver_refusal"]
 
 EVENT_STREAM = "text/event-stream"
 JSON = "application/json"
+# Retry-After of an idempotent request that failed on an engine.
 RETRY_FAILED_S = 1.0
 
 
-class ExchangeContext(NamedTuple):
-    """What every exchange on this host shares.
+class ExecutionContext(NamedTuple):
+    """Components of the host that all request executions share.
 
     Attributes
     ----------
     host : str
-        This host.
+        Name of this host.
     keys : list of KeySettings
         Shared secrets that sign resume tokens.
     clock, log : callable
         Boot-time clock and structured log.
     sessions : EngineSessions
-        HTTP to endpoints.
+        HTTP sessions to endpoints.
     dispatcher : Dispatcher
         The schedulers.
     endpoints : EndpointTable
-        Addresses of endpoints and who crashed.
+        Addresses of endpoints; told of crashed and draining ones.
     metrics : Metrics
         Counters and histograms.
-    history : RequestsLog
-        What became of each request.
+    history : RequestHistory
+        Records the events of each request.
     quarantine : Quarantine
-        Told which content runs where.
+        Told which request runs on which engine.
     """
 
     host: str
@@ -64,52 +65,53 @@
 
 
 async def deliver_refusal(delivery, refusal, request_id, headers=None):
-    """Answer a request with its refusal, at once.
+    """Answer a request with a refusal.
 
     Parameters
     ----------
     delivery : Delivery
-        The caller's answer, not begun.
+        The caller's answer, without a head.
     refusal : Refusal
-        Why.
+        Why the request is not served.
     request_id : str
         The request.
     headers : dict or None
-        More response headers.
+        Additional response headers.
     """
     merged = {"Content-Type": JSON, **(headers or {}), **refusal_headers(refusal)}
     delivery.set_head(STATUS_BY_CODE.get(refusal.code, 503), merged)
     await delivery.put(refusal_body(refusal, request_id))
-    delivery.close(whole=True)
+    delivery.close(complete=True)
 
 
-class Exchange:
-    """A model request from its admission to its last byte.
+class RequestExecution:
+    """Runs one model request from its submission to the last byte of its answer.
 
     Parameters
     ----------
-    context : ExchangeContext
-        What the host shares.
+    context : ExecutionContext
+        Shared components of the host.
     call : ModelRequest
-        The checked request.
+        The validated request.
     request_id : str
         Unique id.
     delivery : Delivery
-        Where the answer goes.
+        Receives the answer.
     claim : coroutine function or None
-        ``await claim()`` returns None when the request may be sent, or the Refusal.
-        Asked once, before the first byte goes out. None for idempotent work.
+        ``await claim()`` returns None when the request may be sent, or a Refusal.
+        Called once, before the first byte is sent. None for idempotent requests.
     headers : dict
-        More response headers.
+        Additional response headers.
 
     Attributes
     ----------
     sent : bool
         Whether a byte may have reached an engine.
-    place : StreamPlace or None
-        Where the stream of the present attempt is.
+    location : StreamLocation or None
+        Where the stream of the current attempt is.
     outcome : str
-        How it ended: ``done``, ``rejected`` or the code of the refusal.
+        How the request ended: ``done``, ``rejected``, ``cancelled`` or the code of
+        the refusal; empty while it runs.
     """
 
     def __init__(self, context, call, request_id, delivery, claim=None, headers=None):
@@ -118,7 +120,7 @@
         self.request_id = request_id
         self.delivery = delivery
         self.sent = False
-        self.place = None
+        self.location = None
         self.outcome = ""
         self._claim = claim
         self._headers = {
@@ -130,33 +132,33 @@
         self._arrived_s = context.clock()
         self._may_have_run = False
         self._kv = None
-        self._seen_first = False
+        self._first_token_seen = False
 
     async def run(self):
-        """See the request through; never raises but for cancellation."""
+        """Run the request to its final answer; raises nothing but CancelledError."""
         context = self.context
         request = create_request(self.request_id, self.call, self._arrived_s)
         context.metrics.request_began(self.call)
         self._ticket = context.dispatcher.submit(self.call.deployment, request)
         try:
-            await self._follow()
+            await self._execute_actions()
         except asyncio.CancelledError:
-            self._note("cancelled")
-            self._tell("cancel", self.request_id)
+            self._record("cancelled")
+            self._call_scheduler("cancel", self.request_id)
             self.outcome = self.outcome or "cancelled"
             raise
         except Exception as error:
-            # A fault of ours must not leave the caller without an answer or the
-            # scheduler with a slot that is never given back.
+            # An internal error must not leave the caller without an answer or the
+            # scheduler with a slot that is never released.
             context.log(
                 "error", "exchange_failed", request=self.request_id, error=error
             )
-            self._tell("cancel", self.request_id)
-            await self._give_up(self._unknown("internal error", "exchange"))
+            self._call_scheduler("cancel", self.request_id)
+            await self._refuse(self._failure_refusal("internal error", "exchange"))
         finally:
-            context.dispatcher.forget(self._ticket)
+            context.dispatcher.discard(self._ticket)
             if not self.delivery.closed:
-                self.delivery.close(whole=False)
+                self.delivery.close(complete=False)
             took_s = context.clock() - self._arrived_s
             context.metrics.request_ended(self.call, self.outcome, took_s)
             context.log(
@@ -170,13 +172,13 @@
                 took_s=took_s,
             )
 
-    async def _follow(self):
-        """Do what the scheduler decides until there is a final answer."""
+    async def _execute_actions(self):
+        """Execute the scheduler's actions until the request has its final answer."""
         claimed = self._claim is None
         while True:
             action = await self._ticket.actions.get()
             if isinstance(action, Refuse):
-                await self._give_up(self._refusal_of(action))
+                await self._refuse(self._refusal_of(action))
                 return
             waited_s = self.context.clock() - self._arrived_s
             if not self.sent:
@@ -184,66 +186,67 @@
             if not claimed:
                 refusal = await self._claim()
                 if refusal is not None:
-                    self._tell("cancel", self.request_id)
-                    await self._give_up(refusal)
+                    self._call_scheduler("cancel", self.request_id)
+                    await self._refuse(refusal)
                     return
                 claimed = True
             if await self._attempt(action):
                 return
 
     async def _attempt(self, action):
-        """Send the request to the endpoint that was chosen; True when all is over."""
+        """Send the request to the chosen engine; return True after a final answer."""
         endpoint = self.context.endpoints.find(action.endpoint)
         if endpoint is None:
-            self._tell("on_failed", self.request_id, "connect", "no")
+            self._call_scheduler("on_failed", self.request_id, "connect", "no")
             return False
-        if not await self._is_worth_risking(endpoint):
-            self._tell("on_failed", self.request_id, "connect", "no")
+        if not await self._may_send_to(endpoint):
+            self._call_scheduler("on_failed", self.request_id, "connect", "no")
             return False
         attempt = self._create_attempt(action, endpoint.address)
-        self._note(
+        self._record(
             "start",
             endpoint=action.endpoint,
             stage=action.stage,
             attempt=action.attempt,
             waited_s=round(self.context.clock() - self._arrived_s, 6),
         )
-        self.place = None
+        self.location = None
         was_sent = self.sent
         self.sent = True
-        result = await self._watch_attempt(action, attempt)
+        result = await self._run_tracked(action, attempt)
         if result.reason in ("connect", "refused"):
             self.sent = was_sent
-        self._note("end", endpoint=action.endpoint, reason=result.reason)
+        self._record("end", endpoint=action.endpoint, reason=result.reason)
         if result.reason == "done":
-            return await self._done(action, result)
+            return await self._finish_stage(action, result)
         if result.reason == "rejected":
-            await self._reject(result)
+            await self._deliver_rejection(result)
             return True
-        return await self._failed(action, result)
+        return await self._on_attempt_failed(action, result)
 
-    async def _is_worth_risking(self, endpoint):
-        """Return whether an engine lives, before a suspected request goes to it.
+    async def _may_send_to(self, endpoint):
+        """Return whether the request may be sent to an engine.
 
-        Failure guarded against: a rack goes, an innocent request is retried on a
-        second engine that is already dying, and two engines lost convict it for
-        good. An engine that has just answered, and dies with the suspect, is proof.
+        A suspect request goes only to an engine that has just answered a probe.
+        Otherwise, when a rack fails, an innocent request could be retried on a second
+        engine that is already failing, and the loss of two engines would convict it
+        permanently. The crash of an engine that has just answered is evidence.
         """
-        verdict = self.context.quarantine.status_of(self.call.fingerprint)
-        if verdict != "suspect":
+        status = self.context.quarantine.status_of(self.call.fingerprint)
+        if status != "suspect":
             return True
         return await self.context.sessions.responds(endpoint.address)
 
-    async def _watch_attempt(self, action, attempt):
-        """Run an attempt and account for what it does to its engine."""
+    async def _run_tracked(self, action, attempt):
+        """Run an attempt, telling the quarantine its start, its end and a crash."""
         quarantine, fingerprint = self.context.quarantine, self.call.fingerprint
         started_s = self.context.clock()
         quarantine.on_start(started_s, fingerprint, action.endpoint)
         completed = False
         try:
-            result = await self._run_unless_stuck(action, attempt)
+            result = await self._run_until_silent(action, attempt)
             if result.reason == "crash":
-                # Before the request counts as ended: it is one of the suspects.
+                # Before `on_end`, so that this request counts among the suspects.
                 self.context.endpoints.on_crash(action.endpoint, started_s)
             completed = result.reason == "done"
             return result
@@ -252,43 +255,45 @@
                 self.context.clock(), fingerprint, action.endpoint, completed
             )
 
-    async def _run_unless_stuck(self, action, attempt):
-        """Run an attempt, but leave an engine that falls silent before it answers.
+    async def _run_until_silent(self, action, attempt):
+        """Run an attempt; abort it if its engine becomes silent before it answers.
 
-        Failure guarded against: an engine is paused or cut off after it has taken
-        requests; its connections stay open, and callers wait until it comes back or
-        the silence limit of a minute. Only work that may run again is taken away,
-        and only while its caller has seen nothing of the answer.
+        When an engine is paused or loses its network, its connections stay open, and
+        callers would wait until it recovers or until the silence limit of a minute.
+        Only an idempotent request is aborted, and only before its caller has received
+        any of the answer.
         """
         task = asyncio.ensure_future(
             run_attempt(
                 self.context.sessions,
                 attempt,
-                lambda stream_id: self._on_stream(action, attempt, stream_id),
+                lambda stream_id: self._set_location(action, attempt, stream_id),
                 self._on_events,
             )
         )
-        stuck = False
+        engine_silent = False
 
-        def leave():
-            nonlocal stuck
+        def abort():
+            nonlocal engine_silent
             if self.call.idempotent and self.delivery.head is None:
-                stuck = True
+                engine_silent = True
                 task.cancel()
 
-        take_back = self.context.endpoints.listen_for_silence(action.endpoint, leave)
+        remove_listener = self.context.endpoints.add_silence_listener(
+            action.endpoint, abort
+        )
         try:
             return await task
         except asyncio.CancelledError:
-            if not stuck or asyncio.current_task().cancelling():
+            if not engine_silent or asyncio.current_task().cancelling():
                 task.cancel()
                 raise
-            return AttemptResult("broken", "unknown", detail="the engine is silent")
+            return AttemptResult("broken", "unknown", detail="engine became silent")
         finally:
-            take_back()
+            remove_listener()
 
     def _create_attempt(self, action, address):
-        """Return what to send for one stage of the work."""
+        """Return the attempt for one stage: prefill, decode, or whole for both."""
         body = dict(self.call.body)
         if action.stage == "prefill":
             body["stream"] = False
@@ -311,9 +316,9 @@
             events_max=self.call.max_output_tokens * choices + EXTRA_EVENTS,
         )
 
-    def _on_stream(self, action, attempt, stream_id):
-        """Note where the stream is, for a resume through any host."""
-        self.place = StreamPlace(
+    def _set_location(self, action, attempt, stream_id):
+        """Record where the stream is, so that any host can resume it."""
+        self.location = StreamLocation(
             self.context.host,
             self.call.deployment,
             action.endpoint,
@@ -323,53 +328,53 @@
         )
 
     async def _on_events(self, raw):
-        """Pass whole events on; the first one decides the head."""
+        """Deliver complete events; the first ones also set the head."""
         if self.delivery.head is None:
             headers = {"Content-Type": EVENT_STREAM, "Cache-Control": "no-store"}
-            if self.place is not None and self.place.stream_id:
-                token = write_token(self.place, self.context.keys)
+            if self.location is not None and self.location.stream_id:
+                token = write_token(self.location, self.context.keys)
                 headers["Gypsumusher-Resume"] = token
             self.delivery.set_head(200, {**self._headers, **headers})
-        self._first_token()
+        self._record_first_token()
         await self.delivery.put(raw)
 
-    def _first_token(self):
-        """Account for the first token, once."""
-        if self._seen_first:
+    def _record_first_token(self):
+        """Report the first token to the scheduler and the metrics, once."""
+        if self._first_token_seen:
             return
-        self._seen_first = True
-        self._tell("on_first_token", self.request_id)
+        self._first_token_seen = True
+        self._call_scheduler("on_first_token", self.request_id)
         waited_s = self.context.clock() - self._arrived_s
         self.context.metrics.first_token(self.call, waited_s)
 
-    async def _done(self, action, result):
-        """Finish a stage; True when the answer is whole."""
+    async def _finish_stage(self, action, result):
+        """Finish a successful stage; return True when the answer is complete."""
         if action.stage == "prefill":
             self._kv = result.kv
-            # A part of the work has run, so no refusal may say "not run" any more.
+            # The prefill has run, so no refusal may say "not run" from here on.
             self._may_have_run = True
-            self._tell("on_prefill_done", self.request_id)
+            self._call_scheduler("on_prefill_done", self.request_id)
             return False
-        self._first_token()
+        self._record_first_token()
         if not self.call.stream:
             self.delivery.set_head(200, {**self._headers, "Content-Type": JSON})
             await self.delivery.put(result.raw)
         self.outcome = "done"
-        self._tell("on_done", self.request_id, result.output_tokens)
-        self.delivery.close(whole=True)
+        self._call_scheduler("on_done", self.request_id, result.output_tokens)
+        self.delivery.close(complete=True)
         return True
 
-    async def _reject(self, result):
-        """Pass on an engine's final word that the request itself is bad."""
+    async def _deliver_rejection(self, result):
+        """Deliver an engine's rejection of an invalid request."""
         self.outcome = "rejected"
-        self._tell("on_done", self.request_id, 0)
+        self._call_scheduler("on_done", self.request_id, 0)
         headers = {**self._headers, "Content-Type": JSON, "Gypsumusher-Run": "no"}
         self.delivery.set_head(result.status, headers)
         await self.delivery.put(result.raw)
-        self.delivery.close(whole=True)
+        self.delivery.close(complete=True)
 
-    async def _failed(self, action, result):
-        """Tell the scheduler of a failure; True when all is over."""
+    async def _on_attempt_failed(self, action, result):
+        """Report a failed attempt; return True if the request has its final answer."""
         self.context.log(
             "warning",
             "attempt_failed",
@@ -385,38 +390,42 @@
             self.context.endpoints.on_draining(action.endpoint)
         if self.delivery.head is not None:
             # The caller has the beginning of this attempt's answer. Another attempt
-            # would word it differently, so the two must not be joined: the stream
-            # ends with an error and without the end marker.
-            self._tell("on_failed", self.request_id, result.reason, result.ran)
-            self._tell("cancel", self.request_id)
-            refusal = self._unknown("the engine failed in mid-answer", action.endpoint)
+            # would generate different text, so the two must not be joined: the
+            # stream ends with an error and without the end marker.
+            self._call_scheduler(
+                "on_failed", self.request_id, result.reason, result.ran
+            )
+            self._call_scheduler("cancel", self.request_id)
+            refusal = self._failure_refusal(
+                "the engine failed before the answer was complete", action.endpoint
+            )
             await self._end_broken_stream(refusal)
             return True
-        self._tell("on_failed", self.request_id, result.reason, result.ran)
+        self._call_scheduler("on_failed", self.request_id, result.reason, result.ran)
         return False
 
     async def _end_broken_stream(self, refusal):
-        """End a begun stream so that no client takes it for a whole one."""
+        """End a started stream with an error event and without the end marker."""
         self.outcome = refusal.code
         body = refusal_body(refusal, self.request_id)
         await self.delivery.put(b"event: error\ndata: " + body + b"\n\n")
-        self.delivery.close(whole=False)
+        self.delivery.close(complete=False)
 
-    def _unknown(self, message, peer):
-        """Return a refusal after which nobody knows whether the request ran."""
+    def _failure_refusal(self, message, peer):
+        """Return an ``endpoint_failed`` refusal, with ``run`` unknown once sent."""
         run = "unknown" if self.sent or self._may_have_run else "no"
         return Refusal("endpoint_failed", message, run, "attempt", peer, 1.0)
 
     def _refusal_of(self, action):
-        """Return the refusal that the scheduler decided on.
+        """Return the refusal for a scheduler's Refuse action.
 
-        A caller that reads "no" may send its request elsewhere, so "no" stands only
-        if it holds for every attempt, not just for the last one.
+        A caller that reads ``run`` as "no" may send its request elsewhere, so it is
+        "no" only if that holds for every attempt, not just for the last one.
         """
         run = "unknown" if self._may_have_run else action.run
         retry_after_s = action.retry_after_s
         if action.code == "endpoint_failed" and self.call.idempotent:
-            # Engines fail one at a time; a repeat soon meets others.
+            # Engines fail one at a time, so a retry soon reaches a healthy one.
             retry_after_s = RETRY_FAILED_S
         return Refusal(
             action.code,
@@ -429,20 +438,20 @@
             retry_after_s,
         )
 
-    async def _give_up(self, refusal):
-        """Give the caller its final answer at once."""
+    async def _refuse(self, refusal):
+        """Answer the caller with a refusal, within the stream if it has started."""
         self.outcome = refusal.code
-        self._note("refused", code=refusal.code, run=refusal.run, step=refusal.step)
+        self._record("refused", code=refusal.code, run=refusal.run, step=refusal.step)
         self.context.metrics.refused(self.call, refusal.code)
         if self.delivery.head is not None:
             await self._end_broken_stream(refusal)
             return
         await deliver_refusal(self.delivery, refusal, self.request_id, self._headers)
 
-    def _tell(self, method, *arguments):
-        """Tell the scheduler something."""
-        self.context.dispatcher.apply(self.call.deployment, method, *arguments)
+    def _call_scheduler(self, method, *arguments):
+        """Call a method of the deployment's scheduler."""
+        self.context.dispatcher.call_scheduler(self.call.deployment, method, *arguments)
 
-    def _note(self, event, **fields):
-        """Keep an event for operators who ask."""
+    def _record(self, event, **fields):
+        """Add an event to the request's history, which operators can query."""
         self.context.history.add(self.request_id, self.context.clock(), event, **fields)
--- a/libs/daemon/gypsumusher_daemon/request_history.py
+++ b/libs/daemon/gypsumusher_daemon/request_history.py
@@ -1,23 +1,24 @@
-"""The recent history of each request, for operators who ask what became of it."""
+"""The recent events of each request, for operators' queries."""
 
 from collections import OrderedDict
 
-__all__ = ["RequestsLog"]
+__all__ = ["RequestHistory"]
 
-# At 30 requests/s a host keeps about five minutes; an entry is a few hundred bytes.
+# About five minutes at 30 requests/s per host; a request takes a few hundred bytes.
 REQUESTS_MAX = 10_000
+# Events kept per request; later ones are dropped.
 EVENTS_MAX = 64
 
 
-class RequestsLog:
-    """What happened to the last requests, oldest forgotten first."""
+class RequestHistory:
+    """Events of the last ``limit`` requests; the oldest request is dropped first."""
 
     def __init__(self, limit=REQUESTS_MAX):
         self._events = OrderedDict()
         self._limit = limit
 
     def add(self, request_id, at_s, event, **fields):
-        """Note one event of a request.
+        """Add an event to a request's history.
 
         Parameters
         ----------
@@ -26,7 +27,7 @@
         at_s : float
             Boot-time clock of this host.
         event : str
-            What happened.
+            Name of the event.
         **fields
             Small values, no payloads.
         """
@@ -39,5 +40,5 @@
             events.append({"at_s": at_s, "event": event, **fields})
 
     def find(self, request_id):
-        """Return the events of a request, or None when it is not known here."""
+        """Return the events of a request, or None when this host has none."""
         return self._events.get(request_id)
--- a/libs/daemon/gypsumusher_daemon/request_runner.py
+++ b/libs/daemon/gypsumusher_daemon/request_runner.py
@@ -1,90 +1,94 @@
-"""The ways a caller's request takes through this host."""
+"""Starts callers' requests, keyed or not, and resumes their streams."""
 
 import asyncio
 import secrets
 
 from gypsumusher_daemon.delivery import Delivery
 from gypsumusher_daemon.refusals import Refusal
-from gypsumusher_daemon.request_execution import Exchange
+from gypsumusher_daemon.request_execution import RequestExecution
 from gypsumusher_daemon.service_requests import read_service_call, service_fingerprint
-from gypsumusher_daemon.stream_resume import begin_resume
+from gypsumusher_daemon.stream_resume import start_resume
 
-__all__ = ["RequestFlows", "Running"]
+__all__ = ["RequestRunner", "RunningRequest"]
 
-# The first report of an engine comes within one interval and a round trip.
-FIRST_REPORT_S = 2.0
+# Longest wait for the first load report of a newly polled deployment, which arrives
+# within one poll interval and a round trip.
+FIRST_REPORT_TIMEOUT_S = 2.0
 FIRST_REPORT_POLL_S = 0.05
 
 
-class Running:
-    """A request in this host, for those who may have to end it.
+class RunningRequest:
+    """An idempotent model request that runs on this host.
 
     Attributes
     ----------
     delivery : Delivery
         Its answer.
     task : asyncio.Task
-        Sees it through.
-    exchange : Exchange
-        Knows where its stream is.
+        Runs the request.
+    execution : RequestExecution
+        Execution of the request.
     """
 
-    def __init__(self, delivery, exchange):
+    def __init__(self, delivery, execution):
         self.delivery = delivery
-        self.exchange = exchange
+        self.execution = execution
         self.task = None
 
     @property
-    def place(self):
-        """Where its stream is, or None."""
-        return self.exchange.place
+    def location(self):
+        """Where the request's stream is, or None while it has none."""
+        return self.execution.location
 
 
-class RequestFlows:
-    """Begins callers' requests and finds those that run.
+class RequestRunner:
+    """Starts callers' requests on the components of a host.
 
     Parameters
     ----------
     host : EntryHost
-        Its parts serve them.
+        The host that serves the requests.
     """
 
     def __init__(self, host):
         self._host = host
 
     def new_request_id(self):
-        """Return an id for a request, unique over hosts and restarts."""
+        """Return a request id, unique over all hosts and restarts."""
         return f"{self._host.name}-{secrets.token_hex(8)}"
 
-    async def follow_deployment(self, deployment):
-        """Follow the engines of a deployment whose cell this host isn't in.
+    async def ensure_polled(self, deployment):
+        """Poll the engines of a deployment outside this host's cells, if not polled.
 
-        A caller may come to any host. It is served directly: the host reads the
-        engines' reports for a while, as the members of the cell do.
+        Any host serves any caller directly: it polls the engines for a while, as the
+        members of the deployment's cell do. Returns after the first load report or
+        `FIRST_REPORT_TIMEOUT_S`.
         """
-        if deployment in self._host.reports.deployments:
+        if deployment in self._host.report_poller.deployments:
             return
-        self._host.reports.visit(deployment)
-        end_s = self._host.clock() + FIRST_REPORT_S
+        self._host.report_poller.poll_temporarily(deployment)
+        end_s = self._host.clock() + FIRST_REPORT_TIMEOUT_S
         while self._host.clock() < end_s:
             entries = self._host.endpoints.group("engine", deployment)
             if any(entry.name in self._host.endpoints.roles for entry in entries):
                 return
             await asyncio.sleep(FIRST_REPORT_POLL_S)
 
-    def begin_model(self, call):
-        """Begin idempotent model work; return it as `Running`."""
+    def start_model(self, call):
+        """Start an idempotent model request; return it as `RunningRequest`."""
         delivery = Delivery()
-        exchange = Exchange(self._host.context, call, self.new_request_id(), delivery)
-        running = Running(delivery, exchange)
-        running.task = self._host.track(asyncio.ensure_future(exchange.run()))
+        execution = RequestExecution(
+            self._host.context, call, self.new_request_id(), delivery
+        )
+        running = RunningRequest(delivery, execution)
+        running.task = self._host.track(asyncio.ensure_future(execution.run()))
         return running
 
     def model_runner(self, call, key):
-        """Return the coroutine function that runs keyed model work."""
+        """Return the coroutine function that runs a keyed model request."""
 
         async def run(entry, claim):
-            exchange = Exchange(
+            execution = RequestExecution(
                 self._host.context,
                 call,
                 self.new_request_id(),
@@ -93,57 +97,59 @@
                 {"Idempotency-Key": key},
             )
             try:
-                await exchange.run()
+                await execution.run()
             finally:
-                entry.sent = entry.sent or exchange.sent
+                entry.sent = entry.sent or execution.sent
 
         return run
 
     def service_call(self, request, name, path):
-        """Return the service call that a request means, or the refusal."""
+        """Return the service call for a caller's request, or a refusal."""
         return read_service_call(
             request, name, path, self.new_request_id(), self._host.document
         )
 
     def service_fingerprint(self, call):
-        """Return a hash of what decides a call's effect."""
+        """Return a hash of the content that determines a call's effect."""
         return service_fingerprint(call)
 
-    def begin_service(self, call):
-        """Begin a service call; return the delivery of its answer."""
-        return self._host.service_flow.begin(call)
+    def start_service(self, call):
+        """Start a service call; return the delivery of its answer."""
+        return self._host.service_requests.start(call)
 
     def service_runner(self, call, key):
         """Return the coroutine function that runs a keyed service call."""
-        return self._host.service_flow.runner(call, key)
+        return self._host.service_requests.runner(call, key)
 
-    async def serve_keyed(self, key, fingerprint, run, request, forwarded):
-        """Serve a keyed request where it belongs; return a delivery or a refusal."""
-        answer = await self._host.keyed_flow.serve(
+    async def run_keyed(self, key, fingerprint, run, request, forwarded):
+        """Run a keyed request or forward it; return its delivery or a refusal."""
+        answer = await self._host.keyed_router.serve(
             key, fingerprint, run, request, forwarded
         )
-        entry = self._host.keyed.find(key)
+        entry = self._host.keyed_requests.find(key)
         if entry is not None and not entry.task.done():
             self._host.track(entry.task)
         return answer
 
     async def key_outcome(self, key, forwarded=False):
-        """Return what became of a key."""
-        return await self._host.keyed_flow.outcome(key, forwarded)
+        """Return the outcome of a key."""
+        return await self._host.keyed_router.outcome(key, forwarded)
 
     def mint_key(self, deployment):
-        """Return a new key that names this host as its home."""
+        """Return a new key owned by this host."""
         section = (self._host.document or {}).get("deployments", {}).get(deployment, {})
         unjournaled = section.get("platform_down", "refuse") == "run_unjournaled"
         return self._host.journals.mint(unjournaled)
 
     def abandon(self, running):
-        """Note that the caller of a stream has gone."""
-        self._host.abandoned.leave(running.task, lambda: running.place)
+        """Handle the disconnection of a running request's caller."""
+        self._host.abandoned_streams.on_caller_gone(
+            running.task, lambda: running.location
+        )
 
-    async def begin_resume(self, token, after):
-        """Take up a stream; return it or a refusal."""
-        resumed = begin_resume(
+    async def start_resume(self, token, after):
+        """Resume a stream after an event; return a `ResumedStream` or a refusal."""
+        resumed = start_resume(
             token,
             after,
             self._host.context.keys,
@@ -154,11 +160,13 @@
         if isinstance(resumed, Refusal):
             return resumed
         self._host.track(resumed.task)
-        place = resumed.place
-        self._host.abandoned.taken_up(place.stream_id)
-        if place.host != self._host.name:
-            message = {"type": "resumed", "stream_id": place.stream_id}
+        location = resumed.location
+        self._host.abandoned_streams.on_resumed(location.stream_id)
+        if location.host != self._host.name:
+            message = {"type": "resumed", "stream_id": location.stream_id}
             self._host.track(
-                asyncio.ensure_future(self._host.cell.ask(place.host, message))
+                asyncio.ensure_future(
+                    self._host.peer_network.request(location.host, message)
+                )
             )
         return resumed
--- a/libs/daemon/gypsumusher_daemon/resume_tokens.py
+++ b/libs/daemon/gypsumusher_daemon/resume_tokens.py
@@ -1,4 +1,4 @@
-"""Signed tokens by which a caller takes up its stream through another host."""
+"""Signed tokens with which a caller can resume its stream through any host."""
 
 import base64
 import hashlib
@@ -6,27 +6,28 @@
 import json
 from typing import NamedTuple
 
-__all__ = ["StreamPlace", "read_token", "write_token"]
+__all__ = ["StreamLocation", "read_token", "write_token"]
 
+# Longer tokens are rejected undecoded.
 TOKEN_CHARS_MAX = 2048
 MAC_BYTES = 16
 
 
-class StreamPlace(NamedTuple):
-    """Where a stream is.
+class StreamLocation(NamedTuple):
+    """The engine and id of a stream; its fields, in this order, form a token.
 
     Attributes
     ----------
     host : str
-        The entry host that began it.
+        The entry host that started the stream.
     deployment, endpoint : str
-        Which engine runs it.
+        The engine that runs the stream, and its deployment.
     address : str
         ``IP:PORT`` of the engine.
     stream_id : str
-        The engine's name of the stream.
+        The stream's id on the engine.
     attempt : str
-        The request id that the engine was given.
+        The request id that was sent to the engine.
     """
 
     host: str
@@ -38,41 +39,41 @@
 
 
 def _mac(secret, payload):
-    """Return the signature of a token's payload."""
+    """Return the message authentication code of a token's payload."""
     digest = hmac.new(secret.encode(), b"resume\0" + payload, hashlib.sha256)
     return digest.digest()[:MAC_BYTES]
 
 
-def write_token(place, keys):
+def write_token(location, keys):
     """Return a token that names a stream, signed with the first shared secret.
 
     Parameters
     ----------
-    place : StreamPlace
+    location : StreamLocation
         The stream.
     keys : list of KeySettings
         The shared secrets of the hosts.
     """
-    payload = json.dumps(list(place), separators=(",", ":")).encode()
+    payload = json.dumps(list(location), separators=(",", ":")).encode()
     token = base64.urlsafe_b64encode(_mac(keys[0].secret, payload) + payload)
     return token.decode()
 
 
 def read_token(token, keys):
-    """Return the stream that a token names, or None when it isn't one of ours.
+    """Return the stream that a token names, or None when its signature is invalid.
 
     Parameters
     ----------
     token : str
-        What the caller sent.
+        Token that the caller sent.
     keys : list of KeySettings
-        The shared secrets; any of them may have signed, during a rotation.
+        The shared secrets; during a rotation any of them may have signed the token.
 
     Notes
     -----
-    Without a signature a caller could name any address and have this host fetch
-    from it, or read the answer to somebody else's request. The signature proves
-    that one of our hosts gave exactly this stream to a caller.
+    Without a signature a caller could have this host fetch from any address, or read
+    the answer to another caller's request. The signature proves that an entry host
+    issued a token for exactly this stream.
     """
     if not token or len(token) > TOKEN_CHARS_MAX:
         return None
@@ -83,5 +84,5 @@
     mac, payload = raw[:MAC_BYTES], raw[MAC_BYTES:]
     for key in keys:
         if hmac.compare_digest(mac, _mac(key.secret, payload)):
-            return StreamPlace(*json.loads(payload))
+            return StreamLocation(*json.loads(payload))
     return None
--- a/libs/daemon/gypsumusher_daemon/service_requests.py
+++ b/libs/daemon/gypsumusher_daemon/service_requests.py
@@ -1,4 +1,4 @@
-"""A caller's call of a plain service, from its request to its delivery."""
+"""Parses callers' requests to plain services and runs them."""
 
 import asyncio
 import hashlib
@@ -9,9 +9,10 @@
 from gypsumusher_daemon.request_execution import deliver_refusal
 from gypsumusher_daemon.services import ServiceCall
 
-__all__ = ["ServiceFlow", "read_service_call", "service_fingerprint"]
+__all__ = ["ServiceRequests", "read_service_call", "service_fingerprint"]
 
-# Our own headers mean nothing to the replica; the key does, it may check it too.
+# Headers that are not passed to the replica. Idempotency-Key is passed, since the
+# replica may check it as well.
 OWN_HEADERS = frozenset(
     {
         FORWARDED_HEADER.lower(),
@@ -24,14 +25,14 @@
 
 
 def read_service_call(request, name, path, request_id, document):
-    """Return the call that a caller's request means.
+    """Parse a caller's request to a plain service.
 
     Parameters
     ----------
     request : sanic.Request
         The request.
     name, path : str
-        Service and path within it.
+        The service and the path within it.
     request_id : str
         Unique id.
     document : dict
@@ -54,7 +55,7 @@
         if header.lower() not in OWN_HEADERS:
             headers.append((header, value))
     keyed = "idempotency-key" in request.headers
-    once = request.headers.get("gypsumusher-idempotent", "yes").lower() == "no"
+    at_most_once = request.headers.get("gypsumusher-idempotent", "yes").lower() == "no"
     return ServiceCall(
         service=name,
         method=request.method,
@@ -65,22 +66,22 @@
         request_id=request_id,
         repeatable=request.method in service["repeatable_methods"]
         and not keyed
-        and not once,
+        and not at_most_once,
         timeout_s=service["timeout_s"],
     )
 
 
-class ServiceFlow:
-    """Runs service calls in tasks of their own, so that none is cut half-way.
+class ServiceRequests:
+    """Runs each service call in its own task, which a disconnect does not cancel.
 
     Parameters
     ----------
     host : str
-        This host.
+        Name of this host.
     services : Services
         Makes the calls.
     track : callable
-        ``track(task)`` keeps a task until it is done.
+        ``track(task)`` holds a reference to a task until it is done.
     """
 
     def __init__(self, host, services, track):
@@ -88,13 +89,13 @@
         self._services = services
         self._track = track
 
-    def begin(self, call):
+    def start(self, call):
         """Start a call; return the delivery of its answer.
 
         Notes
         -----
-        A caller that goes away does not end the call: a call that may not be
-        repeated has perhaps run, and cutting it would only hide the outcome.
+        The call continues when its caller disconnects: a call that must not be
+        repeated may have run already, and cancelling it would only hide the outcome.
         """
         delivery = Delivery()
         self._track(asyncio.ensure_future(self._run(call, delivery, lambda _: None)))
@@ -117,8 +118,8 @@
         return run
 
     async def _run(self, call, delivery, on_send, headers=None):
-        """Make a call and deliver what comes of it."""
-        own = {
+        """Make a call and deliver the answer or the refusal."""
+        own_headers = {
             "Gypsumusher-Request-Id": call.request_id,
             "Gypsumusher-Host": self._host,
             **(headers or {}),
@@ -126,18 +127,18 @@
         try:
             result = await self._services.call(call, on_send)
             if isinstance(result, Refusal):
-                await deliver_refusal(delivery, result, call.request_id, own)
+                await deliver_refusal(delivery, result, call.request_id, own_headers)
                 return
-            delivery.set_head(result.status, {**result.headers, **own})
+            delivery.set_head(result.status, {**result.headers, **own_headers})
             await delivery.put(result.body)
-            delivery.close(whole=True)
+            delivery.close(complete=True)
         finally:
             if not delivery.closed:
-                delivery.close(whole=False)
+                delivery.close(complete=False)
 
 
 def service_fingerprint(call):
-    """Return a hash of what decides a call's effect."""
+    """Return a hash of the content that determines a call's effect."""
     digest = hashlib.sha256()
     for part in (call.service, call.method, call.path, call.query):
         digest.update(part.encode() + b"\0")
--- a/libs/daemon/gypsumusher_daemon/services.py
+++ b/libs/daemon/gypsumusher_daemon/services.py
@@ -1,4 +1,4 @@
-"""Plain services: choosing a replica, calling it once, and judging its answer."""
+"""Calls plain services: chooses a replica, sends the call and checks the answer."""
 
 from typing import NamedTuple
 
@@ -8,15 +8,16 @@
 
 __all__ = ["ServiceAnswer", "ServiceCall", "Services"]
 
+# Bounds the memory that a single answer can take.
 ANSWER_BYTES_MAX = 64 * 1_048_576
-# Two tries find a live replica when one of three has just gone; more would only
-# spread a failing call over all of them.
+# Two attempts find a live replica when one of three has just failed; many more would
+# only send a failing call to all of them.
 ATTEMPTS_MAX = 3
 RETRY_AFTER_S = 1.0
-# A replica that refused a connection gets nothing for this long, doubled up to the
-# limit while it goes on, and then one call as a probe.
-PAUSE_FIRST_S = 0.5
-PAUSE_LIMIT_S = 16.0
+# A replica that refused a connection gets no calls for this long, doubled with each
+# refusal in a row up to the maximum, and then a single call as a probe.
+PAUSE_MIN_S = 0.5
+PAUSE_MAX_S = 16.0
 HOP_BY_HOP = frozenset(
     {
         "connection",
@@ -41,17 +42,17 @@
     Attributes
     ----------
     service, method, path, query : str
-        What is called; ``path`` begins with a slash.
+        Service, and the request to send; ``path`` starts with a slash.
     headers : list of (str, str)
         The caller's headers.
     body : bytes
         The body.
     request_id : str
-        Unique id, passed to the replica.
+        Unique id, sent to the replica.
     repeatable : bool
         Whether it may run more than once.
     timeout_s : float
-        Longest time for one attempt.
+        Time limit of one attempt.
     """
 
     service: str
@@ -66,7 +67,7 @@
 
 
 class ServiceAnswer(NamedTuple):
-    """A replica's whole answer."""
+    """A replica's complete answer."""
 
     status: int
     headers: dict[str, str]
@@ -75,7 +76,7 @@
 
 
 class _Replica:
-    """What this host has seen of one replica."""
+    """Calls in flight to a replica and its refused connections in a row."""
 
     def __init__(self):
         self.in_flight = 0
@@ -89,7 +90,7 @@
     Parameters
     ----------
     sessions : EngineSessions
-        HTTP to endpoints.
+        HTTP sessions to endpoints.
     endpoints : EndpointTable
         The replicas.
     zone : str
@@ -107,15 +108,15 @@
         self._replicas = {}
 
     async def call(self, call, on_send):
-        """Call a service, on another replica where that is safe.
+        """Call a service; retry on other replicas while that is safe.
 
         Parameters
         ----------
         call : ServiceCall
             The call.
         on_send : callable
-            Called just before the first byte may leave, and with False when it is
-            known that none did.
+            Called with True before each attempt, and with False after an attempt of
+            which no byte was sent, unless an earlier one may have run.
 
         Returns
         -------
@@ -153,10 +154,11 @@
     def _choose(self, service, tried):
         """Return the replica to call, or None.
 
-        Made for three or four replicas a service at a few hundred calls a second.
-        The zone comes first, as a call over zones pays the latency twice; then the
-        fewest calls in flight, which also turns away from a slow replica. A paused
-        one is used only when nothing else is left.
+        Sized for three or four replicas per service and a few hundred calls per
+        second. Replicas in this host's zone are preferred, since a call across zones
+        adds the latency between zones twice; then those with the fewest calls in
+        flight, which also avoids slow replicas. A paused replica is used only when
+        there is no other.
         """
         now_s = self._clock()
         best = None
@@ -172,11 +174,18 @@
         return None if best is None else best[1]
 
     async def _attempt(self, call, entry):
-        """Call one replica; return its answer or a refusal, and whether it ran."""
+        """Call one replica.
+
+        Returns
+        -------
+        ServiceAnswer or Refusal
+        str
+            Whether the call ran: ``yes``, ``no`` or ``unknown``.
+        """
         replica = self._replicas.setdefault(entry.name, _Replica())
         replica.in_flight += 1
         try:
-            answer = await self._exchange(call, entry)
+            answer = await self._send(call, entry)
         except (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError) as error:
             self._pause(replica)
             return self._refusal(call, entry, error), "no"
@@ -188,9 +197,9 @@
         replica.paused_until_s = 0.0
         return answer, "yes"
 
-    async def _exchange(self, call, entry):
-        """Send a call and read the whole answer."""
-        # The shared session may repeat an idempotent method by itself and may meet
+    async def _send(self, call, entry):
+        """Send a call and return the complete answer."""
+        # The shared session may repeat an idempotent method on its own and may use
         # a connection that the replica has just closed; neither is allowed for a
         # call that must not run twice.
         session = self._sessions.shared if call.repeatable else self._sessions.fresh
@@ -211,22 +220,22 @@
             allow_redirects=False,
             timeout=aiohttp.ClientTimeout(total=call.timeout_s),
         ) as response:
-            body = await _read_whole(response, call.method)
-            kept = {
+            body = await _read_complete(response, call.method)
+            headers_kept = {
                 name: value
                 for name, value in response.headers.items()
                 if name.lower() not in HOP_BY_HOP
             }
-            return ServiceAnswer(response.status, kept, body, entry.name)
+            return ServiceAnswer(response.status, headers_kept, body, entry.name)
 
     def _pause(self, replica):
-        """Give a replica that refused a connection nothing for a while."""
-        pause_s = min(PAUSE_LIMIT_S, PAUSE_FIRST_S * 2**replica.failures)
+        """Pause a replica that refused a connection."""
+        pause_s = min(PAUSE_MAX_S, PAUSE_MIN_S * 2**replica.failures)
         replica.failures += 1
         replica.paused_until_s = self._clock() + pause_s
 
     def _refusal(self, call, entry, error):
-        """Return the refusal for a failed attempt."""
+        """Log a failed attempt and return its refusal."""
         self._log(
             "warning",
             "service_call_failed",
@@ -244,14 +253,14 @@
         )
 
 
-async def _read_whole(response, method):
-    """Return an answer's body when its framing shows that it is whole.
+async def _read_complete(response, method):
+    """Return an answer's body if its framing shows that it is complete.
 
     Raises
     ------
     ValueError
-        When it is too long, or framed by the connection's end alone: a replica that
-        dies in mid-answer then looks like one that has finished.
+        When the body is over `ANSWER_BYTES_MAX`, or ends only with the connection: a
+        truncated answer of a failed replica would then look complete.
     """
     framed = (
         "Content-Length" in response.headers
@@ -266,6 +275,6 @@
     async for part in response.content.iter_any():
         size_bytes += len(part)
         if size_bytes > ANSWER_BYTES_MAX:
-            raise ValueError(f"answer is over {ANSWER_BYTES_MAX} bytes")
+            raise ValueError(f"answer exceeds {ANSWER_BYTES_MAX} bytes")
         parts.append(part)
     return b"".join(parts)
--- a/libs/daemon/gypsumusher_daemon/settings.py
+++ b/libs/daemon/gypsumusher_daemon/settings.py
@@ -1,4 +1,4 @@
-"""Reads the settings file and checks it whole against the table of settings."""
+"""Reads the settings file and validates it against the table of settings."""
 
 from pathlib import Path
 from typing import Any, NamedTuple
@@ -19,7 +19,7 @@
 
 
 class KeySettings(NamedTuple):
-    """One shared secret by which hosts authenticate each other."""
+    """One shared secret with which hosts authenticate each other and sign."""
 
     id: str
     secret: str
@@ -28,11 +28,12 @@
 Settings = dict[str, Any]
 
 LOG_LEVELS = ("debug", "info", "warning", "error")
-TOKEN_MIN_CHARS = 16
+# Least length of the operators' token and of a shared secret.
+TOKEN_CHARS_MIN = 16
 
 
 def load_settings(path):
-    """Read and check a settings file.
+    """Read and validate a settings file.
 
     Parameters
     ----------
@@ -42,12 +43,12 @@
     Returns
     -------
     dict
-        Value by dotted key, each of `SETTINGS` present.
+        Value by dotted key, with every key of `SETTINGS`.
 
     Raises
     ------
     SettingsError
-        With one line a problem: file, line, key, what is wrong and how to mend it.
+        With one line per problem: file, line, key, problem and remedy.
     """
     try:
         text = Path(path).read_text()
@@ -59,14 +60,14 @@
 
 
 def check_settings(text, name):
-    """Check the text of a settings file; see `load_settings`.
+    """Validate the text of a settings file; see `load_settings`.
 
     Parameters
     ----------
     text : str
         The YAML text.
     name : str
-        How messages call the file.
+        Name of the file in messages.
     """
     try:
         node = yaml.compose(text, Loader=yaml.SafeLoader)
@@ -82,18 +83,18 @@
             _take_default(setting, settings, problems, name)
             continue
         value, line = found[setting.key]
-        problem = _problem_of(setting, value)
+        problem = _find_problem(setting, value)
         if problem:
             problems.append(f"{name}: line {line}: {setting.key}: {problem}")
             continue
-        settings[setting.key] = _converted(setting, value)
+        settings[setting.key] = _convert(setting, value)
     if problems:
         raise SettingsError("\n".join(problems))
     return settings
 
 
 def _take_default(setting, settings, problems, name):
-    """Use the default of an absent key, or note that it has none."""
+    """Set an absent key to its default; add a problem if it has none."""
     if setting.default is REQUIRED:
         problems.append(f"{name}: {setting.key}: missing; add it ({setting.reason})")
         return
@@ -101,7 +102,7 @@
 
 
 def _collect(node, prefix, found, problems, name):
-    """Gather the leaf values with their lines; note unknown and doubled keys."""
+    """Collect all values with their lines; report unknown and repeated keys."""
     known = {setting.key for setting in SETTINGS}
     sections = {key.rsplit(".", 1)[0] for key in known}
     for key_node, value_node in node.value:
@@ -111,18 +112,18 @@
             problems.append(f"{name}: line {line}: {key}: stands twice; keep one")
             continue
         if key in known:
-            found[key] = (_plain(value_node), line)
+            found[key] = (_construct_value(value_node), line)
             continue
         if key in sections and isinstance(value_node, yaml.MappingNode):
             _collect(value_node, f"{key}.", found, problems, name)
             continue
         problems.append(
-            f"{name}: line {line}: {key}: unknown; {_nearest(key, known, sections)}"
+            f"{name}: line {line}: {key}: unknown; {_suggest(key, known, sections)}"
         )
 
 
-def _nearest(key, known, sections):
-    """Say which key was probably meant: a wrong unit suffix is the usual slip."""
+def _suggest(key, known, sections):
+    """Return a hint for an unknown key; a wrong unit suffix is the usual cause."""
     stem = key.rsplit("_", 1)[0]
     for candidate in sorted(known):
         if candidate.rsplit("_", 1)[0] == stem or candidate.startswith(key + "_"):
@@ -132,8 +133,8 @@
     return "remove it, or see docs/OPERATING.md for the keys"
 
 
-def _plain(node):
-    """Return the plain value of a YAML node."""
+def _construct_value(node):
+    """Return the Python value of a YAML node."""
     loader = yaml.SafeLoader("")
     try:
         return loader.construct_object(node, deep=True)
@@ -141,8 +142,8 @@
         loader.dispose()
 
 
-def _problem_of(setting, value):
-    """Return what is wrong with a value and its mend, or None."""
+def _find_problem(setting, value):
+    """Return the problem with a value and its remedy, or None."""
     if setting.kind in ("int", "float"):
         return _number_problem(setting, value)
     if setting.kind == "bool":
@@ -155,13 +156,13 @@
         return f"{value!r} is not a text; put it in quotes"
     if setting.key == "log.level" and value not in LOG_LEVELS:
         return f"{value!r} is none of {', '.join(LOG_LEVELS)}"
-    if setting.key == "operators.token" and len(value) < TOKEN_MIN_CHARS:
-        return f"is shorter than {TOKEN_MIN_CHARS} characters; take a longer one"
+    if setting.key == "operators.token" and len(value) < TOKEN_CHARS_MIN:
+        return f"is shorter than {TOKEN_CHARS_MIN} characters; take a longer one"
     return None
 
 
 def _number_problem(setting, value):
-    """Return what is wrong with a number, or None."""
+    """Return the problem with a number, or None."""
     allowed = int if setting.kind == "int" else (int, float)
     if isinstance(value, bool) or not isinstance(value, allowed):
         unit = f" in {setting.unit}" if setting.unit else ""
@@ -172,7 +173,7 @@
 
 
 def _list_problem(value, may_be_empty):
-    """Return what is wrong with a list of texts, or None."""
+    """Return the problem with a list of strings, or None."""
     if not isinstance(value, list):
         return f"{value!r} is not a list"
     if not value and not may_be_empty:
@@ -184,7 +185,7 @@
 
 
 def _keys_problem(value):
-    """Return what is wrong with the list of shared secrets, or None."""
+    """Return the problem with the list of shared secrets, or None."""
     if not isinstance(value, list) or not value:
         return "expected a list of {id, secret} with at least one entry"
     for entry in value:
@@ -192,16 +193,16 @@
             return "each entry needs exactly the keys id and secret"
         if not all(isinstance(part, str) and part for part in entry.values()):
             return "id and secret must be texts; put them in quotes"
-        if len(entry["secret"]) < TOKEN_MIN_CHARS:
-            return f"secret of {entry['id']!r} has under {TOKEN_MIN_CHARS} characters"
+        if len(entry["secret"]) < TOKEN_CHARS_MIN:
+            return f"secret of {entry['id']!r} has under {TOKEN_CHARS_MIN} characters"
     ids = [entry["id"] for entry in value]
     if len(set(ids)) < len(ids):
         return "two keys have the same id; give each its own"
     return None
 
 
-def _converted(setting, value):
-    """Return the value in the type the daemon uses."""
+def _convert(setting, value):
+    """Return a validated value in the type that the daemon uses."""
     if setting.kind == "float":
         return float(value)
     if setting.kind == "list of keys":
--- a/libs/daemon/gypsumusher_daemon/settings_table.py
+++ b/libs/daemon/gypsumusher_daemon/settings_table.py
@@ -1,9 +1,10 @@
-"""The table of all settings: key, kind, unit, default, bounds and reason."""
+"""The table of all settings of the daemon."""
 
 from typing import Any, NamedTuple
 
 __all__ = ["REQUIRED", "SETTINGS", "Setting"]
 
+# Default of a setting that must be given in the file.
 REQUIRED = object()
 
 
--- a/libs/daemon/tests/test_cell_members.py
+++ b/libs/daemon/tests/test_cell_members.py
@@ -1,4 +1,4 @@
-"""Hosts agree on cells, and a host's share of the fleet stays small."""
+"""Hosts compute the same cells, and each host belongs to few of them."""
 
 from gypsumusher_daemon.cell_members import (
     GOSSIP_HOSTS_MIN,
@@ -15,21 +15,21 @@
     return [(f"h{n:03d}", ZONES[n % len(ZONES)]) for n in range(count)]
 
 
-def test_at_todays_size_everybody_is_in_every_cell():
+def test_with_8_hosts_every_host_is_in_every_cell():
     hosts = make_hosts(8)
     for name, _ in hosts:
         assert own_deployments(DOCUMENT, hosts, name) == set(DOCUMENT["deployments"])
         assert len(gossip_hosts(DOCUMENT, hosts, name)) == 7
 
 
-def test_at_330_hosts_each_follows_few_deployments_and_talks_to_few_hosts():
+def test_with_330_hosts_each_has_few_deployments_and_gossip_hosts():
     hosts = make_hosts(330)
     shares = [len(own_deployments(DOCUMENT, hosts, name)) for name, _ in hosts]
-    talks = [len(gossip_hosts(DOCUMENT, hosts, name)) for name, _ in hosts]
+    gossip_counts = [len(gossip_hosts(DOCUMENT, hosts, name)) for name, _ in hosts]
     assert sum(shares) == 40 * 8
     assert max(shares) <= 6
-    assert min(talks) >= GOSSIP_HOSTS_MIN - 1
-    assert max(talks) <= 50
+    assert min(gossip_counts) >= GOSSIP_HOSTS_MIN - 1
+    assert max(gossip_counts) <= 50
 
 
 def test_the_loss_of_a_zone_leaves_most_of_each_cell():
@@ -40,7 +40,7 @@
         assert len(lost) <= 2
 
 
-def test_a_host_that_goes_moves_one_place_of_a_cell():
+def test_removing_a_host_replaces_at_most_two_members_of_a_cell():
     hosts = make_hosts(60)
     for deployment in list(DOCUMENT["deployments"])[:5]:
         before = cell_of(DOCUMENT, hosts, deployment)
--- a/libs/daemon/tests/test_delivery.py
+++ b/libs/daemon/tests/test_delivery.py
@@ -1,4 +1,4 @@
-"""One answer reaches its caller whole, and a kept one reaches each that asks."""
+"""An answer reaches its reader complete, and a retained one every reader."""
 
 import asyncio
 
@@ -11,20 +11,20 @@
     return b"".join([chunk async for chunk in delivery.read()])
 
 
-def test_kept_answer_is_the_same_for_every_reader():
+def test_retained_answer_is_the_same_for_every_reader():
     async def main():
         delivery = Delivery(100)
         first = asyncio.ensure_future(read_all(delivery))
         delivery.set_head(200, {})
         for part in (b"ab", b"cd"):
             await delivery.put(part)
-        delivery.close(whole=True)
+        delivery.close(complete=True)
         assert await first == await read_all(delivery) == b"abcd"
 
     asyncio.run(main())
 
 
-def test_slow_reader_holds_the_producer_and_not_the_memory():
+def test_slow_reader_blocks_the_producer_at_the_buffer_limit():
     async def main():
         delivery = Delivery()
         delivery.set_head(200, {})
@@ -35,26 +35,26 @@
         assert not done
         reading = asyncio.ensure_future(read_all(delivery))
         await blocked
-        delivery.close(whole=True)
+        delivery.close(complete=True)
         assert await reading == chunk + chunk
 
     asyncio.run(main())
 
 
-def test_abandoned_answer_is_dropped_and_never_blocks():
+def test_abandoned_answer_is_dropped_without_blocking_the_producer():
     async def main():
         delivery = Delivery()
         delivery.abandon()
         for _ in range(10):
             await delivery.put(b"x" * BUFFERED_BYTES_MAX)
-        assert not delivery.kept
+        assert not delivery.is_retained
         with pytest.raises(LookupError):
             await read_all(delivery)
 
     asyncio.run(main())
 
 
-def test_answer_over_the_limit_is_passed_on_but_not_kept():
+def test_answer_over_the_limit_is_delivered_but_not_retained():
     async def main():
         delivery = Delivery(3)
         reading = asyncio.ensure_future(read_all(delivery))
@@ -63,8 +63,8 @@
         for part in (b"ab", b"cd", b"ef"):
             await delivery.put(part)
             await asyncio.sleep(0)
-        delivery.close(whole=True)
+        delivery.close(complete=True)
         assert await reading == b"abcdef"
-        assert not delivery.kept
+        assert not delivery.is_retained
 
     asyncio.run(main())
--- a/libs/daemon/tests/test_engine_responses.py
+++ b/libs/daemon/tests/test_engine_responses.py
@@ -1,4 +1,4 @@
-"""Only whole answers to the very attempt get through."""
+"""Only complete answers that belong to the attempt are accepted."""
 
 import json
 
@@ -7,7 +7,7 @@
 from gypsumusher_daemon.engine_responses import (
     AnswerProblem,
     StreamChecker,
-    check_whole_answer,
+    check_complete_answer,
 )
 
 
@@ -19,7 +19,7 @@
 DONE = b"id: 3\ndata: [DONE]\n\n"
 
 
-def test_bytes_may_break_anywhere():
+def test_events_may_be_split_at_any_byte():
     raw = event(1) + event(2) + DONE
     for cut in range(1, len(raw)):
         checker = StreamChecker("a-1", 10)
@@ -29,23 +29,23 @@
         assert checker.done
 
 
-def test_half_an_event_never_leaves():
+def test_incomplete_event_is_not_returned():
     checker = StreamChecker("a-1", 10)
     assert checker.feed(event(1) + event(2)[:-1]) == event(1)
     checker.restart()
     assert checker.feed(event(2) + DONE) == event(2) + DONE
 
 
-def test_resumed_stream_repeats_nothing():
+def test_resumed_stream_skips_events_the_caller_has():
     checker = StreamChecker("a-1", 10, after=1)
     assert checker.feed(event(1) + event(2) + DONE) == event(2) + DONE
 
 
-def test_crossed_event_is_caught():
-    """A caller would read a part of somebody else's letter.
+def test_event_of_another_request_is_rejected():
+    """A caller must not receive a part of another caller's answer.
 
-    The engine mixes up two streams after a restart of its front; the event of the
-    other request carries the other id.
+    The engine's frontend mixes up two streams after a restart; the event of the other
+    request carries the other id.
     """
     checker = StreamChecker("a-1", 10)
     checker.feed(event(1))
@@ -63,14 +63,14 @@
         (b"".join(event(n) for n in range(1, 12)), "error"),
     ],
 )
-def test_gaps_unnumbered_and_overlong_streams_are_caught(raw, reason):
+def test_gaps_unnumbered_and_overlong_streams_are_rejected(raw, reason):
     checker = StreamChecker("a-1", 10)
     with pytest.raises(AnswerProblem) as caught:
         checker.feed(raw)
     assert caught.value.reason == reason
 
 
-def whole(**changes):
+def complete_body(**changes):
     body = {
         "id": "cmpl-a-1",
         "choices": [{"text": "x", "finish_reason": "stop"}],
@@ -79,22 +79,22 @@
     return json.dumps({**body, **changes}).encode()
 
 
-def test_whole_answer_is_taken():
-    assert check_whole_answer(whole(), "a-1", 2).output_tokens == 2
+def test_complete_answer_is_accepted():
+    assert check_complete_answer(complete_body(), "a-1", 2).output_tokens == 2
 
 
 @pytest.mark.parametrize(
     ("raw", "reason"),
     [
-        (whole(id="cmpl-b-1"), "crossed"),
-        (whole(choices=[]), "error"),
-        (whole(choices=[{"text": "x", "finish_reason": None}]), "error"),
-        (whole()[:-5], "error"),
-        (whole(usage={"completion_tokens": 3}), "error"),
+        (complete_body(id="cmpl-b-1"), "crossed"),
+        (complete_body(choices=[]), "error"),
+        (complete_body(choices=[{"text": "x", "finish_reason": None}]), "error"),
+        (complete_body()[:-5], "error"),
+        (complete_body(usage={"completion_tokens": 3}), "error"),
         (b"[]", "error"),
     ],
 )
-def test_cut_or_foreign_answers_are_caught(raw, reason):
+def test_truncated_or_crossed_answers_are_rejected(raw, reason):
     with pytest.raises(AnswerProblem) as caught:
-        check_whole_answer(raw, "a-1", 2)
+        check_complete_answer(raw, "a-1", 2)
     assert caught.value.reason == reason
--- a/libs/daemon/tests/test_engine_sessions.py
+++ b/libs/daemon/tests/test_engine_sessions.py
@@ -1,14 +1,14 @@
-"""Whether an engine that dropped a connection has crashed."""
+"""An engine that dropped a connection is told from one that has crashed."""
 
 import asyncio
 
 import pytest
 
-from gypsumusher_daemon.engine_sessions import DYING_PROBES, EngineSessions
+from gypsumusher_daemon.engine_sessions import CRASH_PROBES_MAX, EngineSessions
 
 
-async def ask_of(on_connection):
-    """Return what the sessions say of a listener that handles connections so."""
+async def probe_listener(on_connection):
+    """Return the result and number of probes of a listener with this handler."""
     count = 0
     server = None
 
@@ -24,44 +24,44 @@
     sessions = EngineSessions(connect_timeout_s=2.0, silence_s=2.0)
     await sessions.start()
     try:
-        return await sessions.answers(f"{host}:{port}"), count
+        return await sessions.accepts_connections(f"{host}:{port}"), count
     finally:
         await sessions.close()
         server.close()
 
 
 def test_an_engine_that_accepts_connections_while_it_dies_has_crashed():
-    """One bad letter takes down engine after engine, and nobody is convicted.
+    """A request that crashes engine after engine must be convicted.
 
-    The engine's process ends; for some milliseconds its listener still takes the
-    connection that asks whether it lives, and drops it.
-    Cause: a connection that was taken counted as a sign of life.
+    When an engine's process ends, its listener still accepts the probe for some
+    milliseconds and drops it. Counting an accepted connection as a sign of life would
+    hide the crash.
     """
 
     async def drop_twice_then_go(count, server, writer):
         if count == 2:
             server.close()
 
-    answers, count = asyncio.run(ask_of(drop_twice_then_go))
+    answers, count = asyncio.run(probe_listener(drop_twice_then_go))
     assert answers is False
     assert count == 2
 
 
 def test_an_engine_that_goes_on_dropping_connections_has_not_crashed():
-    """A healthy engine behind a bad link is taken for crashed, its requests for bad."""
+    """A healthy engine behind a faulty link must not make its requests suspect."""
 
     async def drop(count, server, writer):
         pass
 
-    assert asyncio.run(ask_of(drop)) == (True, DYING_PROBES)
+    assert asyncio.run(probe_listener(drop)) == (True, CRASH_PROBES_MAX)
 
 
 @pytest.mark.parametrize("status", [b"200 OK", b"500 Internal Server Error"])
 def test_any_answer_is_a_sign_of_life(status):
-    """One question is enough for an engine that answers it."""
+    """A single probe is enough for an engine that answers it."""
 
     async def answer(count, server, writer):
         writer.write(b"HTTP/1.1 " + status + b"\r\nContent-Length: 0\r\n\r\n")
         await writer.drain()
 
-    assert asyncio.run(ask_of(answer)) == (True, 1)
+    assert asyncio.run(probe_listener(answer)) == (True, 1)
--- a/libs/daemon/tests/test_keyed_requests.py
+++ b/libs/daemon/tests/test_keyed_requests.py
@@ -1,4 +1,4 @@
-"""A key's request runs once at its home, and repeats get the same answer."""
+"""A keyed request runs once on its owner, and repeats get the same answer."""
 
 import asyncio
 
@@ -46,7 +46,7 @@
             entry.sent = True
             runs.append(1)
         await entry.delivery.put(b"answer")
-        entry.delivery.close(whole=True)
+        entry.delivery.close(complete=True)
 
     return run
 
@@ -59,11 +59,11 @@
     async def main():
         runs, journals = [], FakeJournals()
         requests = keyed(journals)
-        first = requests.begin(KEY, "f", runner(runs))
-        second = requests.begin(KEY, "f", runner(runs))
+        first = requests.attach_or_start(KEY, "f", runner(runs))
+        second = requests.attach_or_start(KEY, "f", runner(runs))
         assert await answer_of(first) == await answer_of(second) == b"answer"
         await first.task
-        third = requests.begin(KEY, "f", runner(runs))
+        third = requests.attach_or_start(KEY, "f", runner(runs))
         assert await answer_of(third) == b"answer"
         assert len(runs) == 1
         assert journals.finished == [KEY]
@@ -75,8 +75,8 @@
 def test_key_with_another_body_is_refused():
     async def main():
         requests = keyed(FakeJournals())
-        entry = requests.begin(KEY, "f", runner([]))
-        refusal = requests.begin(KEY, "g", runner([]))
+        entry = requests.attach_or_start(KEY, "f", runner([]))
+        refusal = requests.attach_or_start(KEY, "g", runner([]))
         assert isinstance(refusal, Refusal)
         assert (refusal.code, refusal.run) == ("key_reused", "no")
         await entry.task
@@ -84,19 +84,19 @@
     asyncio.run(main())
 
 
-def test_licensed_but_unsent_request_may_come_again():
-    """A booking is refused for want of an engine, and its caller sends it again.
+def test_granted_but_unsent_request_runs_when_repeated():
+    """A request refused for lack of an engine must run when its caller repeats it.
 
-    The key was granted before the connection failed; no byte went out, so the same
-    key must be able to run under the same licence, once.
+    The key was granted before the connection failed, and no byte was sent, so the
+    same key must be able to run once under the same claim.
     """
 
     async def main():
         runs, journals = [], FakeJournals()
         requests = keyed(journals)
-        entry = requests.begin(KEY, "f", runner(runs, send=False))
+        entry = requests.attach_or_start(KEY, "f", runner(runs, send=False))
         await entry.task
-        again = requests.begin(KEY, "f", runner(runs))
+        again = requests.attach_or_start(KEY, "f", runner(runs))
         await again.task
         assert len(runs) == 1
         assert journals.granted == [KEY]
@@ -104,23 +104,23 @@
     asyncio.run(main())
 
 
-def test_refused_claim_leaves_nothing_behind():
+def test_refused_claim_leaves_no_entry():
     async def main():
         runs = []
         requests = keyed(FakeJournals(refuse="journal_unavailable"))
-        entry = requests.begin(KEY, "f", runner(runs))
+        entry = requests.attach_or_start(KEY, "f", runner(runs))
         await entry.task
         assert runs == [] and requests.find(KEY) is None
 
     asyncio.run(main())
 
 
-def test_memory_for_answers_is_bounded():
+def test_memory_for_retained_answers_is_bounded():
     async def main():
         requests = keyed(FakeJournals(), answers_bytes=20)
         for number in range(10):
             key = f"gk1.home.0.{number}.00000000"
-            await requests.begin(key, "f", runner([])).task
+            await requests.attach_or_start(key, "f", runner([])).task
         kept = [n for n in range(10) if requests.find(f"gk1.home.0.{n}.00000000")]
         assert len(kept) <= 5 and kept[-1] == 9
 
--- a/libs/daemon/tests/test_model_requests.py
+++ b/libs/daemon/tests/test_model_requests.py
@@ -1,4 +1,4 @@
-"""Requests are checked whole; refusals name the parameter and the value."""
+"""Requests are validated; refusals name the parameter and the value."""
 
 import hashlib
 import json
@@ -78,14 +78,14 @@
         ),
     ],
 )
-def test_bad_requests_get_a_typed_refusal(body, headers, code, text):
+def test_invalid_requests_get_a_refusal_code(body, headers, code, text):
     refusal = parse(body, **headers)
     assert isinstance(refusal, Refusal)
     assert (refusal.code, refusal.run) == (code, "no")
     assert text in refusal.message
 
 
-def test_prefix_hashes_follow_the_published_chain():
+def test_prefix_hashes_are_chained_as_documented():
     prompt = "a" * 256 + "b" * 256 + "c"
     first = hashlib.blake2b(b"a" * 256, digest_size=8).digest()
     second = hashlib.blake2b(first + b"b" * 256, digest_size=8).digest()
@@ -93,7 +93,7 @@
     assert prefix_hashes(prompt) == expected
 
 
-def test_fingerprint_ignores_only_how_the_answer_is_carried():
+def test_fingerprint_ignores_only_the_transfer_of_the_answer():
     body = {"model": "d", "prompt": "p"}
     same = request_fingerprint(COMPLETIONS, {**body, "stream": True})
     assert request_fingerprint(COMPLETIONS, body) == same
--- a/libs/daemon/tests/test_order_sender.py
+++ b/libs/daemon/tests/test_order_sender.py
@@ -1,4 +1,4 @@
-"""Orders to engines and what becomes of their answers."""
+"""Answers of engines to orders become the right events."""
 
 import asyncio
 import json
@@ -36,15 +36,14 @@
 
 @pytest.mark.parametrize("cut_at", [1, 12, 30])
 def test_an_answer_in_several_packets_is_read_to_its_end(cut_at):
-    # A change of an engine's role is held up. The engine takes the order and says so in
-    # two packets, of which the first was taken for all, so that the steward took the
-    # order for one of unknown outcome and had to ask.
+    # Reading only the first packet of the answer would give the accepted order an
+    # unknown outcome; the steward would have to query it, which delays a role change.
     body = json.dumps({"order_id": "o-1", "state": "accepted"}).encode()
     event = asyncio.run(answer_of(b"202 Accepted", body, cut_at, 0.05))
     assert event == OrderReply("e-1", "o-1", "accepted", "t", "")
 
 
-def test_an_answer_without_bounds_is_not_kept():
+def test_an_answer_over_the_size_limit_is_a_failed_call():
     body = b'{"state": "' + b"x" * ANSWER_BYTES_MAX + b'"}'
     event = asyncio.run(answer_of(b"202 Accepted", body, 100, 0.0))
     assert event == OrderCallFailed("e-1", "o-1", True, "t")
--- a/libs/daemon/tests/test_resume_tokens.py
+++ b/libs/daemon/tests/test_resume_tokens.py
@@ -1,29 +1,29 @@
-"""A caller can take up its own stream and nobody else's."""
+"""A caller can resume its own stream and no other."""
 
-from gypsumusher_daemon.resume_tokens import StreamPlace, read_token, write_token
+from gypsumusher_daemon.resume_tokens import StreamLocation, read_token, write_token
 from gypsumusher_daemon.settings import KeySettings
 
 OLD = KeySettings("k1", "0123456789abcdef")
 NEW = KeySettings("k2", "fedcba9876543210")
-PLACE = StreamPlace("h1", "d", "e1", "127.0.0.1:1", "s1", "a-1")
+LOCATION = StreamLocation("h1", "d", "e1", "127.0.0.1:1", "s1", "a-1")
 
 
 def test_token_is_read_by_any_host_during_a_key_rotation():
-    token = write_token(PLACE, [OLD])
-    assert read_token(token, [NEW, OLD]) == PLACE
+    token = write_token(LOCATION, [OLD])
+    assert read_token(token, [NEW, OLD]) == LOCATION
     assert read_token(token, [NEW]) is None
 
 
-def test_forged_tokens_are_refused():
-    """A caller could read another's letter, or have us call any address.
+def test_forged_tokens_are_rejected():
+    """A caller must not read another caller's answer or choose the address called.
 
-    It changes the stream or the address within a token that it was given.
+    It could try to by changing the stream or the address in a token that it was given.
     """
-    token = write_token(PLACE, [OLD])
+    token = write_token(LOCATION, [OLD])
     for index in range(len(token)):
         changed = "A" if token[index] != "A" else "B"
         forged = token[:index] + changed + token[index + 1 :]
-        # The last characters before the padding may differ without a meaning.
-        assert read_token(forged, [OLD]) in (None, PLACE)
+        # Some bits of the last character before the padding do not encode data.
+        assert read_token(forged, [OLD]) in (None, LOCATION)
     for text in ("", "x", "é", "A" * 5000, "AAAA"):
         assert read_token(text, [OLD]) is None
--- a/libs/daemon/tests/test_services.py
+++ b/libs/daemon/tests/test_services.py
@@ -1,4 +1,4 @@
-"""Calls of plain services run at most once unless they may be repeated."""
+"""Calls of plain services run at most once unless they are repeatable."""
 
 import asyncio
 
@@ -11,7 +11,11 @@
 
 
 class Replica:
-    """A raw HTTP server that answers by a script, one line a request."""
+    """A raw HTTP server that sends scripted answers, one per request.
+
+    None in the script closes the connection without an answer; an empty script
+    answers `OK`.
+    """
 
     def __init__(self, script):
         self.script = list(script)
@@ -63,7 +67,8 @@
     return ServiceCall("svc", method, "/x", "", [], b"{}", "r1", repeatable, 5.0)
 
 
-async def make(*replicas):
+async def make_services(*replicas):
+    """Return started sessions, and services that call these replicas."""
     sessions = EngineSessions(1.0, 5.0)
     await sessions.start()
     addresses = [await replica.start() for replica in replicas]
@@ -73,16 +78,16 @@
 
 
 def test_call_on_a_connection_that_breaks_is_not_repeated():
-    """A crew is booked twice on one wall.
+    """A call that is not repeatable must not run twice, as a double booking would.
 
-    The replica reads the booking, does it, and closes the connection it had kept
-    alive; an HTTP library that repeats by itself sends the booking again.
+    The replica reads and runs the call, then closes the kept-alive connection without
+    an answer; an HTTP library that retries on its own would send the call again.
     """
 
     async def main():
         for method in ("POST", "PUT", "DELETE"):
             first, second = Replica([OK, None]), Replica([])
-            sessions, services = await make(first, second)
+            sessions, services = await make_services(first, second)
             sent = []
             answer = await services.call(call(method), sent.append)
             assert isinstance(answer, ServiceAnswer)
@@ -100,7 +105,7 @@
 def test_repeatable_call_goes_to_another_replica():
     async def main():
         first, second = Replica([None]), Replica([OK])
-        sessions, services = await make(first, second)
+        sessions, services = await make_services(first, second)
         answer = await services.call(call("GET", True), lambda _: None)
         assert isinstance(answer, ServiceAnswer)
         assert (first.seen, second.seen) == (1, 1)
@@ -114,7 +119,7 @@
 def test_refused_connection_sends_nothing_and_another_replica_serves():
     async def main():
         gone, alive = Replica([]), Replica([OK])
-        sessions, services = await make(gone, alive)
+        sessions, services = await make_services(gone, alive)
         await gone.close()
         sent = []
         answer = await services.call(call(), sent.append)
@@ -126,14 +131,14 @@
     asyncio.run(main())
 
 
-def test_cut_and_unframed_answers_are_not_passed_off_as_whole():
+def test_truncated_and_unframed_answers_are_not_delivered_as_complete():
     async def main():
         for answer in (
             b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok",
             b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nContent-Length: 9",
         ):
             replica = Replica([answer])
-            sessions, services = await make(replica)
+            sessions, services = await make_services(replica)
             refusal = await services.call(call(), lambda _: None)
             assert isinstance(refusal, Refusal)
             assert (refusal.code, refusal.run) == ("endpoint_failed", "unknown")
--- a/libs/daemon/tests/test_settings.py
+++ b/libs/daemon/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings are checked whole, and each message says what to mend."""
+"""Settings are validated together, and each message states the remedy."""
 
 import pytest
 
@@ -27,7 +27,7 @@
     assert settings["peers.keys"][0].id == "k1"
 
 
-def test_all_problems_are_named_at_once_with_their_lines():
+def test_all_problems_are_reported_at_once_with_their_lines():
     text = GOOD + "callers: {port: 70000, entry_max_age: 5}\nlog: {level: loud}\n"
     message = problems_of(text)
     assert "x.yaml: line 8: callers.port: 70000 is outside" in message
@@ -49,7 +49,7 @@
         (GOOD + "stop: {grace_s: true}\n", "True is not a number"),
     ],
 )
-def test_bad_settings_name_the_key_and_the_mend(text, expected):
+def test_bad_settings_name_the_key_and_the_remedy(text, expected):
     assert expected in problems_of(text)
 
 
