--- a/libs/daemon/gypsumusher_daemon/host.py
+++ b/libs/daemon/gypsumusher_daemon/host.py
@@ -353,7 +353,7 @@
     async def _poll_endpoint_list(self):
         """Poll the platform's list of endpoints, until cancelled."""
         while True:
-            result = await self.client.hosts()
+            result = await self.client.list_hosts()
             if isinstance(result, Success):
                 self.endpoints.set_listed(result.unwrap())
                 self.report_poller.update_tasks()
