--- a/libs/cli/gypsumusher_cli/access.py
+++ b/libs/cli/gypsumusher_cli/access.py
@@ -1,18 +1,18 @@
-"""Where the tool finds the system: options before environment before a YAML file."""
+"""Addresses and token of the hosts, from options, the environment or a YAML file."""
 
 import pathlib
 from typing import NamedTuple
 
 import yaml
 
-from gypsumusher_cli.errors import FileProblem, InputError, raise_problems
+from gypsumusher_cli.errors import FileProblem, InputError, raise_if_problems
 
 OPERATORS_VARIABLE = "GYPSUMUSHER_OPERATORS"
 TOKEN_VARIABLE = "GYPSUMUSHER_TOKEN"
 CALLERS_VARIABLE = "GYPSUMUSHER_CALLERS"
 ACCESS_VARIABLE = "GYPSUMUSHER_ACCESS"
 FILE_KEYS = ("operators", "token", "callers")
-HIGHEST_PORT = 65535
+MAX_PORT = 65535
 
 
 class Access(NamedTuple):
@@ -23,25 +23,25 @@
     callers: tuple[str, ...]
 
 
-def find_access(options, environment):
-    """Work out the access from what was given, the most explicit first.
+def resolve_access(options, environment):
+    """Return the access settings, by precedence: option, environment, access file.
 
     Parameters
     ----------
     options : dict of str to str or None
-        ``operators``, ``token``, ``callers`` and ``access`` as typed.
+        Values of the options ``operators``, ``token``, ``callers`` and ``access``.
     environment : mapping of str to str
-        The process's environment.
+        The process's environment variables.
 
     Returns
     -------
     Access
-        Parts that nobody gave are empty.
+        Fields that are set nowhere are empty.
 
     Raises
     ------
     InputError
-        If an address or the file is malformed.
+        If an address is not ``IP:PORT``, or the access file can't be used.
     """
     path = options.get("access") or environment.get(ACCESS_VARIABLE)
     stored = _read_file(path) if path else {}
@@ -61,19 +61,21 @@
         or stored.get("token", "")
     )
     return Access(
-        operators=split_addresses(operators, "operators' address"),
+        operators=parse_addresses(operators, "operators' address"),
         token=token,
-        callers=split_addresses(callers, "callers' address"),
+        callers=parse_addresses(callers, "callers' address"),
     )
 
 
-def split_addresses(given, what):
-    """Return a comma-separated string or a list of addresses as a checked tuple.
+def parse_addresses(given, what):
+    """Return addresses, a comma-separated string or a list, as a validated tuple.
+
+    ``what`` names the kind of address in error messages.
 
     Raises
     ------
     InputError
-        If one of them is not ``IP:PORT``.
+        If an address is not ``IP:PORT``.
     """
     if not given:
         return ()
@@ -81,7 +83,7 @@
     addresses = []
     for item in items:
         host, _, port = str(item).strip().rpartition(":")
-        if host and port.isdigit() and 0 < int(port) <= HIGHEST_PORT:
+        if host and port.isdigit() and 0 < int(port) <= MAX_PORT:
             addresses.append(f"{host}:{port}")
             continue
         raise InputError(f"{what} {item!r} is not IP:PORT", "write e.g. 10.0.0.7:8081")
@@ -99,7 +101,7 @@
         ) from error
     if not isinstance(document, dict):
         raise InputError(
-            f"access file {path} holds {document!r}",
+            f"access file {path} is {document!r}, not a mapping",
             f"write YAML with the keys {', '.join(FILE_KEYS)}",
         )
     problems = []
@@ -107,13 +109,13 @@
         if key not in FILE_KEYS:
             problems.append(FileProblem(key, "is not a known key", f"use {FILE_KEYS}"))
             continue
-        if not _is_text_or_texts(value, allow_list=key != "token"):
+        if not _is_string_or_strings(value, allow_list=key != "token"):
             problems.append(FileProblem(key, f"is {value!r}", "write a string"))
-    raise_problems(f"access file {path}", problems)
+    raise_if_problems(f"access file {path}", problems)
     return document
 
 
-def _is_text_or_texts(value, allow_list):
+def _is_string_or_strings(value, allow_list):
     if isinstance(value, str):
         return True
     if not allow_list or not isinstance(value, list):
@@ -122,7 +124,7 @@
 
 
 def require_operators(access):
-    """Check that the operators' API can be called at all.
+    """Check that an address of the operators' API and a token are set.
 
     Raises
     ------
@@ -132,26 +134,26 @@
     if not access.operators:
         raise InputError(
             "no operators' address is known",
-            f"give --operators IP:PORT, set {OPERATORS_VARIABLE}, or name a file",
+            f"give --operators IP:PORT or --access FILE, or set {OPERATORS_VARIABLE}",
         )
     if not access.token:
         raise InputError(
             "no operators' token is known",
-            f"set {TOKEN_VARIABLE}, give --token, or name a file with --access",
+            f"set {TOKEN_VARIABLE}, or give --token or --access FILE",
         )
 
 
 def require_callers(access):
-    """Check that an entry host's address for callers is known.
+    """Check that an entry host's address for callers is set.
 
     Raises
     ------
     InputError
-        If none is.
+        If no address is set.
     """
     if access.callers:
         return
     raise InputError(
         "no callers' address is known",
-        f"give --callers IP:PORT, set {CALLERS_VARIABLE}, or name a file",
+        f"give --callers IP:PORT or --access FILE, or set {CALLERS_VARIABLE}",
     )
--- a/libs/cli/gypsumusher_cli/client.py
+++ b/libs/cli/gypsumusher_cli/client.py
@@ -1,4 +1,4 @@
-"""Calls the operators' API of the first entry host that takes the connection."""
+"""HTTP client of the operators' API, with failover between entry hosts."""
 
 from typing import Any, NamedTuple
 
@@ -6,12 +6,16 @@
 from returns.result import Failure, Result, Success
 
 CONNECT_TIMEOUT_S = 2.0
-# Above the longest time that a daemon waits for the platform on an operator's behalf.
+# Longer than a daemon waits for the platform when it serves an operator's request, so
+# that the daemon's own error response arrives before the client gives up.
 CALL_TIMEOUT_S = 30.0
 
 
-class Answer(NamedTuple):
-    """What a host answered: its HTTP status and the JSON body."""
+class Response(NamedTuple):
+    """A response of any HTTP status, with its JSON body.
+
+    ``peer`` is the ``IP:PORT`` of the host that sent it.
+    """
 
     peer: str
     status: int
@@ -19,24 +23,25 @@
 
 
 class ClientError(NamedTuple):
-    """A call that got no answer.
+    """A call that got no usable response.
 
-    ``sent`` tells whether the call may have taken effect all the same.
+    ``request_sent`` tells whether the call may have taken effect all the same;
+    ``step`` is the step that failed, as a word for messages.
     """
 
     step: str
     peer: str
-    sent: bool
+    request_sent: bool
     detail: str
 
 
 class OperatorsClient:
-    """A session with the operators' API.
+    """An HTTP session for calls to the operators' API.
 
     Parameters
     ----------
     access : Access
-        Addresses to try in their order, and the token.
+        The addresses, tried in their order, and the token.
     """
 
     def __init__(self, access):
@@ -44,12 +49,12 @@
         self._session = None
 
     async def start(self):
-        """Open the session."""
+        """Open the HTTP session."""
         timeout = aiohttp.ClientTimeout(
             total=CALL_TIMEOUT_S, sock_connect=CONNECT_TIMEOUT_S
         )
-        # Connections are not kept: aiohttp silently repeats a GET when a kept
-        # connection breaks, and a tool that makes three calls gains nothing by it.
+        # No keep-alive: aiohttp silently repeats a GET when a reused connection
+        # breaks, and a tool that makes about three calls gains nothing from reuse.
         self._session = aiohttp.ClientSession(
             connector=aiohttp.TCPConnector(force_close=True),
             timeout=timeout,
@@ -57,54 +62,59 @@
         )
 
     async def close(self):
-        """Close the session."""
+        """Close the HTTP session."""
         await self._session.close()
 
-    async def call(self, method, path, body=None) -> Result[Answer, ClientError]:
-        """Make a call at the first host that takes the connection.
+    async def call(self, method, path, body=None) -> Result[Response, ClientError]:
+        """Send a request to the first host that accepts the connection.
+
+        After a failed call other than GET that may have reached a host, no further
+        host is tried, since the call could then take effect twice.
 
         Parameters
         ----------
         method : str
             The HTTP method.
         path : str
-            From ``/admin`` on.
+            The URL's path, starting with ``/admin``.
         body : dict, optional
-            What to send as JSON.
+            The request's body, sent as JSON.
 
         Returns
         -------
-        Result[Answer, ClientError]
-            Any HTTP status is an answer.
+        Result[Response, ClientError]
+            A response of any HTTP status counts as a success.
         """
         failed = None
         for address in self._access.operators:
-            result = await self.call_at(address, method, path, body)
+            result = await self.call_host(address, method, path, body)
             if isinstance(result, Success):
                 return result
             failed = result
-            if result.failure().sent and method != "GET":
+            if result.failure().request_sent and method != "GET":
                 return result
         return failed
 
-    async def call_at(self, address, method, path, body=None):
-        """Make a call at one given host; as `call`."""
+    async def call_host(self, address, method, path, body=None):
+        """Send a request to the host at ``address``; otherwise as `call`."""
         url = f"http://{address}{path}"
         try:
-            async with self._session.request(method, url, json=body) as answer:
-                content = await answer.json(content_type=None)
+            async with self._session.request(method, url, json=body) as response:
+                content = await response.json(content_type=None)
         except aiohttp.ClientConnectorError as error:
             return Failure(ClientError("connect", address, False, _one_line(error)))
         except aiohttp.ConnectionTimeoutError as error:
             return Failure(ClientError("connect", address, False, _one_line(error)))
         except (aiohttp.ClientError, TimeoutError, OSError) as error:
-            return Failure(ClientError("call", address, True, _one_line(error)))
+            return Failure(ClientError("request", address, True, _one_line(error)))
         except ValueError:
-            detail = f"status {answer.status} without JSON"
-            return Failure(ClientError("answer", address, True, detail))
+            detail = f"response with status {response.status} is not JSON"
+            return Failure(ClientError("request", address, True, detail))
         if not isinstance(content, dict):
-            return Failure(ClientError("answer", address, True, f"got {content!r}"))
-        return Success(Answer(address, answer.status, content))
+            return Failure(
+                ClientError("request", address, True, f"response is {content!r}")
+            )
+        return Success(Response(address, response.status, content))
 
 
 def _one_line(error):
--- a/libs/cli/gypsumusher_cli/cmdline.py
+++ b/libs/cli/gypsumusher_cli/cmdline.py
@@ -1,4 +1,4 @@
-"""The gypsumusher program: its list of commands and its exit codes."""
+"""Entry point of the gypsumusher program: its commands and exit codes."""
 
 import sys
 
@@ -41,7 +41,7 @@
 
 
 def build_application():
-    """Return the application with all its commands."""
+    """Return the cleo application with all commands."""
     application = Application(PROGRAM, VERSION)
     for command in COMMANDS:
         application.add(command())
@@ -56,12 +56,12 @@
     Parameters
     ----------
     arguments : list of str
-        Without the program's name.
+        The arguments without the program's name.
 
     Returns
     -------
     int
-        0 when it did its work, 2 for input that can't be used, else 1.
+        The exit code: 0 on success, 2 for invalid input, else 1.
     """
     application = build_application()
     try:
@@ -78,5 +78,5 @@
 
 
 def main():
-    """Run the process's own command line."""
+    """Run the process's command line and exit with its exit code."""
     sys.exit(run(sys.argv[1:]))
--- a/libs/cli/gypsumusher_cli/command_base.py
+++ b/libs/cli/gypsumusher_cli/command_base.py
@@ -1,4 +1,4 @@
-"""What all commands share: their access options, and errors as one clear message."""
+"""Base classes of the commands: access options, error reporting, calls of the API."""
 
 import asyncio
 import os
@@ -9,7 +9,7 @@
 from cleo.io.outputs.output import Type
 from returns.result import Failure, Success
 
-from gypsumusher_cli.access import find_access, require_operators
+from gypsumusher_cli.access import require_operators, resolve_access
 from gypsumusher_cli.client import OperatorsClient
 from gypsumusher_cli.errors import EXIT_FAILED, EXIT_OK, CommandError, InputError
 
@@ -18,19 +18,19 @@
 
 ACCESS_OPTIONS = [
     option("operators", None, "Operators' addresses, IP:PORT[,IP:PORT].", flag=False),
-    option("token", None, "Operators' token; the environment hides it.", flag=False),
+    option("token", None, "Operators' token; a variable hides it better.", flag=False),
     option("access", None, "YAML file with operators, token, callers.", flag=False),
 ]
 JSON_OPTION = option("json", None, "Print JSON instead of a table.")
 
 
 class ToolCommand(Command):
-    """A command whose errors end in one message and the right exit code."""
+    """A command that reports an error as one message and an exit code."""
 
     def handle(self):
         """Run the command and return its exit code."""
         try:
-            asyncio.run(self.operate())
+            asyncio.run(self.run_command())
         except CommandError as error:
             self.line_error(f"gypsumusher: {error}")
             return error.exit_code
@@ -38,113 +38,121 @@
             self.line_error("gypsumusher: interrupted")
             return EXIT_FAILED
         except Exception as error:
-            # A fault of the tool itself: an operator gets a line to report, and the
-            # screen keeps what led to it.
+            # A bug in the tool: one line that the operator can report. A traceback
+            # would push the preceding output off the screen.
             kind = type(error).__name__
             self.line_error(f"gypsumusher: unexpected {kind}: {error}; please report")
             return EXIT_FAILED
         return EXIT_OK
 
-    async def operate(self):
-        """Do the command's work.
+    async def run_command(self):
+        """Run the command; subclasses implement it.
 
         Raises
         ------
         CommandError
-            If it can't be done.
+            If the command can't do what was asked.
         """
         raise NotImplementedError
 
-    def access(self):
-        """Return the access that options, environment and file give."""
+    def resolve_access(self):
+        """Return the access settings from options, environment and access file."""
         names = ("operators", "token", "access", "callers")
         typed = {
             name: self.option(name)
             for name in names
             if self.definition.has_option(name)
         }
-        return find_access(typed, os.environ)
+        return resolve_access(typed, os.environ)
 
-    def say(self, text):
-        """Print plain text, in which angle brackets mean nothing."""
+    def print_line(self, text):
+        """Print text to the output without interpreting cleo's ``<tag>`` markup."""
         self.io.output.write(text + "\n", type=Type.RAW)
 
     def line_error(self, text, style=None, verbosity=None):
-        """Print plain text to the error output."""
+        """Print text to the error output, also without interpreting markup.
+
+        ``style`` and ``verbosity`` are those of the overridden method, and ignored.
+        """
         self.io.error_output.write(text + "\n", type=Type.RAW)
 
 
 class OperatorsCommand(ToolCommand):
     """A command that calls the operators' API."""
 
-    async def operate(self):
-        """Open a client, do the work with it, and close it."""
-        access = self.access()
+    async def run_command(self):
+        """Open a client, run the command with it, and close it."""
+        access = self.resolve_access()
         require_operators(access)
         client = OperatorsClient(access)
         await client.start()
         try:
-            await self.operate_with(client)
+            await self.run_with_client(client)
         finally:
             await client.close()
 
-    async def operate_with(self, client):
-        """Do the command's work with an open client."""
+    async def run_with_client(self, client):
+        """Run the command with an open client; subclasses implement it."""
         raise NotImplementedError
 
 
 def unwrap(result):
-    """Return a call's answer, whatever its status.
+    """Return a call's response of any status, or raise the call's failure.
 
     Raises
     ------
     CommandError
-        If there was no answer, or the token was refused.
+        If there was no response.
+    InputError
+        If the host refused the token.
     """
     if isinstance(result, Failure):
         error = result.failure()
-        effect = "it may have taken effect" if error.sent else "it had no effect"
+        effect = (
+            "it may have taken effect" if error.request_sent else "it had no effect"
+        )
         raise CommandError(
             f"{error.step} to {error.peer} failed ({error.detail}); {effect}",
             "check the address and that the host runs, or name another host",
         )
-    answer = result.unwrap()
-    if answer.status in HTTP_UNAUTHORIZED:
+    response = result.unwrap()
+    if response.status in HTTP_UNAUTHORIZED:
         raise InputError(
-            f"{answer.peer} refused the token", "give the token of its settings"
+            f"{response.peer} refused the token",
+            "give the operators' token of that host's settings",
         )
-    return answer
+    return response
 
 
-def require_ok_body(answer):
-    """Return the body of an answer that must be 200.
+def require_ok_body(response):
+    """Return a response's body, or raise an error when its status is not 200.
 
     Raises
     ------
     CommandError
-        If the host answered with an error.
+        If the host responded with an error.
     """
-    if answer.status == HTTP_OK:
-        return answer.body
-    raise CommandError(f"{answer.peer} answered {describe_error(answer)}")
+    if response.status == HTTP_OK:
+        return response.body
+    raise CommandError(f"{response.peer} responded with {describe_error(response)}")
 
 
-def describe_error(answer):
-    """Return an error answer as words: status, code and message."""
-    error = answer.body.get("error")
+def describe_error(response):
+    """Return an error response as text: status, code and message."""
+    error = response.body.get("error")
     if not isinstance(error, dict):
-        return f"status {answer.status}"
-    words = [f"status {answer.status}", str(error.get("code", "")), ""]
+        return f"status {response.status}"
+    words = [f"status {response.status}", str(error.get("code", "")), ""]
     if error.get("message"):
         words[2] = f"({error['message']})"
     return " ".join(word for word in words if word)
 
 
-async def read_statuses(client, addresses):
-    """Return the statuses of those hosts that answer."""
+async def fetch_statuses(client, addresses):
+    """Return the status documents of the hosts that respond."""
     statuses = []
     for address in addresses:
-        result = await client.call_at(address, "GET", "/admin/status")
+        result = await client.call_host(address, "GET", "/admin/status")
         if not isinstance(result, Success):
             continue
         if result.unwrap().status == HTTP_OK:
@@ -152,13 +160,13 @@
     return statuses
 
 
-def quoted(name):
-    """Return a name as one part of a URL's path."""
+def quote_path_segment(name):
+    """Return a name quoted as one segment of a URL's path."""
     return urllib.parse.quote(name, safe="")
 
 
 def read_lines(paths):
-    """Return the lines of several files.
+    """Return the lines of several log files.
 
     Raises
     ------
@@ -171,5 +179,7 @@
             with open(path, errors="replace") as file:
                 lines += file.read().splitlines()
         except OSError as error:
-            raise InputError(f"{path}: {error.strerror}", "name a log") from error
+            raise InputError(
+                f"{path} can't be read ({error.strerror})", "name a log file"
+            ) from error
     return lines
--- a/libs/cli/gypsumusher_cli/config_commands.py
+++ b/libs/cli/gypsumusher_cli/config_commands.py
@@ -1,4 +1,4 @@
-"""The commands that show, check and change the numbered configuration."""
+"""The config commands: show, validate and patch the numbered configuration."""
 
 import json
 import os
@@ -20,12 +20,13 @@
     unwrap,
 )
 from gypsumusher_cli.errors import CommandError, InputError
-from gypsumusher_cli.load_report import align
+from gypsumusher_cli.load_report import align_columns
 
 HTTP_CONFLICT = 409
 HTTP_INVALID = 422
-# A lost answer is settled by sending the same patch id again, this many times.
-PATCH_TRIES = 3
+# How often a patch is sent while its response is lost. Sending it again is safe, since
+# hosts apply a patch id only once.
+MAX_PATCH_ATTEMPTS = 3
 
 
 def read_document(path, what):
@@ -34,7 +35,7 @@
     Raises
     ------
     InputError
-        If it can't be read or is no mapping.
+        If it can't be read or is not a mapping.
     """
     try:
         text = sys.stdin.read() if path == "-" else pathlib.Path(path).read_text()
@@ -46,22 +47,23 @@
     except yaml.YAMLError as error:
         place = " ".join(str(error).split())
         raise InputError(
-            f"{what} {path} is not YAML or JSON ({place})", "mend it"
+            f"{what} {path} is not YAML or JSON ({place})", "fix the syntax"
         ) from error
     if isinstance(document, dict):
         return document
     raise InputError(
-        f"{what} {path} holds {document!r}", "write a mapping, e.g. deployments: {}"
+        f"{what} {path} is {document!r}, not a mapping",
+        "write a mapping, e.g. deployments: {}",
     )
 
 
-def whole_number(text, name):
-    """Return an option's value as a whole number, not below 0.
+def parse_non_negative_int(text, name):
+    """Return an option's value as an integer of at least 0.
 
     Raises
     ------
     InputError
-        If it is none.
+        If the value is not such an integer.
     """
     if text.isdigit():
         return int(text)
@@ -69,7 +71,7 @@
 
 
 def format_problems(problems):
-    """Return a check's problems as lines."""
+    """Return the problems that a host found in a document as indented lines."""
     lines = [
         f"  {item.get('path')}: {item.get('problem')}; {item.get('mend')}"
         for item in problems
@@ -77,37 +79,40 @@
     return "\n".join(lines)
 
 
-async def read_config(client, number=None):
-    """Return the number and the document of the configuration in force."""
+async def fetch_config(client, number=None):
+    """Return the response body with the configuration in force and its number.
+
+    With ``number``, the request fails unless that version is in force.
+    """
     path = "/admin/config" if number is None else f"/admin/config?number={number}"
     return require_ok_body(unwrap(await client.call("GET", path)))
 
 
 async def send_patch(client, base_number, patch, author, note, patch_id=None):
-    """Send a patch until its outcome is known.
+    """Send a patch, and repeat it under the same id until its outcome is known.
 
     Parameters
     ----------
     client : OperatorsClient
-        Where to.
+        An open client.
     base_number : int
-        The version that the patch was written against.
+        Number of the version that the patch was written against.
     patch : dict
         A JSON merge patch.
     author, note : str
-        For the history.
+        Kept in the configuration's history.
     patch_id : str, optional
-        A new one by default.
+        The patch's id; a random one by default.
 
     Returns
     -------
-    Answer
-        200, 409 or 422.
+    Response
+        Of status 200 (accepted), 409 (outdated) or 422 (invalid).
 
     Raises
     ------
     CommandError
-        If the patch was not taken, or its outcome stayed unknown.
+        If the patch was not accepted, or its outcome is still unknown.
     """
     body = {
         "base_number": base_number,
@@ -116,30 +121,30 @@
         "author": author,
         "note": note,
     }
-    for _ in range(PATCH_TRIES):
-        # The answer may be lost after the patch was accepted. The same id sent again
-        # is recognised by the host, so that it is never applied twice.
+    for _ in range(MAX_PATCH_ATTEMPTS):
+        # The response may be lost after the patch was accepted. The host recognises
+        # the id when it is sent again, so that the patch is never applied twice.
         result = await client.call("POST", "/admin/config/patch", body)
-        if isinstance(result, Failure) and result.failure().sent:
+        if isinstance(result, Failure) and result.failure().request_sent:
             continue
-        answer = unwrap(result)
-        if answer.status in (HTTP_OK, HTTP_CONFLICT, HTTP_INVALID):
-            return answer
-        code = answer.body.get("error", {}).get("code")
+        response = unwrap(result)
+        if response.status in (HTTP_OK, HTTP_CONFLICT, HTTP_INVALID):
+            return response
+        code = response.body.get("error", {}).get("code")
         if code != "unknown_outcome":
             raise CommandError(
-                f"the patch was not taken: {describe_error(answer)}",
-                "try again when the platform answers; see `gypsumusher status`",
+                f"the patch was not accepted: {describe_error(response)}",
+                "try again when the platform is available; see `gypsumusher status`",
             )
     raise CommandError(
         f"the outcome of patch {body['patch_id']} is not known",
-        "look for it with `gypsumusher config history`, or send it again with "
+        "look it up with `gypsumusher config history`, or send it again with "
         f"--patch-id {body['patch_id']}",
     )
 
 
 def default_author():
-    """Return the user's name as the environment tells it."""
+    """Return the user's name from the environment."""
     return os.environ.get("USER") or os.environ.get("LOGNAME") or "unknown"
 
 
@@ -155,60 +160,61 @@
         *ACCESS_OPTIONS,
     ]
 
-    async def operate_with(self, client):
-        """Read and print the document."""
+    async def run_with_client(self, client):
+        """Fetch and print the document."""
         number = self.option("number")
         if number is not None:
-            number = whole_number(number, "number")
-        body = await read_config(client, number)
+            number = parse_non_negative_int(number, "number")
+        body = await fetch_config(client, number)
         document = body["document"]
         if self.option("section"):
-            document = _section(document, self.option("section"))
+            document = _find_section(document, self.option("section"))
         if self.option("json"):
             shown = {"number": body["number"], "document": document}
-            self.say(json.dumps(shown, indent=2))
+            self.print_line(json.dumps(shown, indent=2))
             return
-        self.say(f"# number: {body['number']}")
-        self.say(yaml.safe_dump(document, sort_keys=False).rstrip())
+        self.print_line(f"# number: {body['number']}")
+        self.print_line(yaml.safe_dump(document, sort_keys=False).rstrip())
 
 
-def _section(document, path):
-    part = document
+def _find_section(document, path):
+    section = document
     for name in path.split("."):
-        if not isinstance(part, dict) or name not in part:
-            known = sorted(part) if isinstance(part, dict) else []
+        if not isinstance(section, dict) or name not in section:
+            known = sorted(section) if isinstance(section, dict) else []
             raise InputError(
-                f"section {path!r} has no part {name!r}", f"use one of {known}"
+                f"section {path!r} does not exist: no key {name!r}",
+                f"use one of {known}",
             )
-        part = part[name]
-    return part
+        section = section[name]
+    return section
 
 
 class ConfigValidate(OperatorsCommand):
-    """Checks a document or patch without putting it in force."""
+    """Checks a document or a patch without applying it."""
 
     name = "config validate"
     description = "Check a configuration document, or a patch, without applying it."
     arguments = [argument("file", "YAML or JSON file; - reads standard input.")]
     options = [
-        option("patch", None, "The file is a merge patch on what is in force."),
+        option("patch", None, "The file is a merge patch, not a whole document."),
         *ACCESS_OPTIONS,
     ]
 
-    async def operate_with(self, client):
-        """Send the file to be checked."""
+    async def run_with_client(self, client):
+        """Send the file to a host for validation and print the result."""
         path = self.argument("file")
         document = read_document(path, "file")
         kind = "patch" if self.option("patch") else "document"
-        answer = unwrap(
+        response = unwrap(
             await client.call("POST", "/admin/config/validate", {kind: document})
         )
-        problems = answer.body.get("problems")
+        problems = response.body.get("problems")
         if problems is None:
-            require_ok_body(answer)
+            require_ok_body(response)
         if problems:
             raise InputError(f"{path} can't be used:\n{format_problems(problems)}")
-        self.say(f"{path}: no problems")
+        self.print_line(f"{path}: no problems")
 
 
 class ConfigPatch(OperatorsCommand):
@@ -219,23 +225,25 @@
     arguments = [argument("file", "YAML or JSON merge patch; - reads standard input.")]
     options = [
         option("base", None, "Number that `config show` printed.", flag=False),
-        option("note", None, "Why; kept in the history.", flag=False, default=""),
-        option("author", None, "Who; by default the user's name.", flag=False),
-        option("patch-id", None, "Id of an earlier try to settle.", flag=False),
+        option("note", None, "Reason; kept in the history.", flag=False, default=""),
+        option("author", None, "Author; by default the user's name.", flag=False),
+        option(
+            "patch-id", None, "Id of an earlier patch of unknown outcome.", flag=False
+        ),
         *ACCESS_OPTIONS,
     ]
 
-    async def operate_with(self, client):
-        """Send the patch and say what became of it."""
+    async def run_with_client(self, client):
+        """Send the patch and print its result."""
         if self.option("base") is None:
             raise InputError(
                 "--base is missing",
                 "give the number that `gypsumusher config show` printed when the "
                 "patch was written",
             )
-        base_number = whole_number(self.option("base"), "base")
+        base_number = parse_non_negative_int(self.option("base"), "base")
         patch = read_document(self.argument("file"), "patch")
-        answer = await send_patch(
+        response = await send_patch(
             client,
             base_number,
             patch,
@@ -243,45 +251,48 @@
             self.option("note"),
             self.option("patch-id"),
         )
-        check_patch_answer(answer, base_number)
-        changed = ", ".join(answer.body.get("changed", [])) or "nothing"
-        self.say(f"accepted as number {answer.body['number']}; changed: {changed}")
+        check_patch_response(response, base_number)
+        changed = ", ".join(response.body.get("changed", [])) or "nothing"
+        self.print_line(
+            f"accepted as number {response.body['number']}; changed: {changed}"
+        )
 
 
-def check_patch_answer(answer, base_number):
-    """Raise what a patch's answer says, unless it was accepted.
+def check_patch_response(response, base_number):
+    """Raise an error unless the response says that the patch was accepted.
 
     Raises
     ------
     InputError
-        If the patch is invalid, or outdated: others changed the configuration since.
+        If the patch is invalid, or outdated because the configuration was changed
+        after version ``base_number``.
     """
-    if answer.status == HTTP_INVALID:
-        problems = format_problems(answer.body.get("problems", []))
+    if response.status == HTTP_INVALID:
+        problems = format_problems(response.body.get("problems", []))
         raise InputError(f"the patch can't be used:\n{problems}")
-    if answer.status != HTTP_CONFLICT:
+    if response.status != HTTP_CONFLICT:
         return
-    changed = ", ".join(answer.body.get("changed_since", [])) or "not told"
+    changed = ", ".join(response.body.get("changed_since", [])) or "unknown"
     raise InputError(
         f"the patch is outdated: it was written against number {base_number}, and "
-        f"number {answer.body.get('number')} is in force; changed since: {changed}",
-        "look at `gypsumusher config show`, mend the patch, and name the new number",
+        f"number {response.body.get('number')} is in force; changed since: {changed}",
+        "see `gypsumusher config show`, update the patch, and give the new number",
     )
 
 
 class ConfigHistory(OperatorsCommand):
-    """Prints the last patches."""
+    """Prints the most recent patches."""
 
     name = "config history"
-    description = "Print the last patches: number, time, author, what changed, why."
+    description = "Print the last patches: number, time, author, changes, reason."
     options = [JSON_OPTION, *ACCESS_OPTIONS]
 
-    async def operate_with(self, client):
-        """Read and print the history."""
-        answer = unwrap(await client.call("GET", "/admin/config/history"))
-        body = require_ok_body(answer)
+    async def run_with_client(self, client):
+        """Fetch and print the history."""
+        response = unwrap(await client.call("GET", "/admin/config/history"))
+        body = require_ok_body(response)
         if self.option("json"):
-            self.say(json.dumps(body, indent=2))
+            self.print_line(json.dumps(body, indent=2))
             return
         rows = [("number", "at", "author", "changed", "note")]
         for patch in body.get("patches", []):
@@ -294,4 +305,4 @@
                     str(patch.get("note", "")),
                 )
             )
-        self.say("\n".join(align(rows)))
+        self.print_line("\n".join(align_columns(rows)))
--- a/libs/cli/gypsumusher_cli/drain_commands.py
+++ b/libs/cli/gypsumusher_cli/drain_commands.py
@@ -1,4 +1,4 @@
-"""The commands that drain a host or an endpoint and show it finish."""
+"""The drain commands: stop new work at a host or an endpoint, and wait until idle."""
 
 import asyncio
 
@@ -7,52 +7,54 @@
 from gypsumusher_cli.command_base import (
     ACCESS_OPTIONS,
     OperatorsCommand,
-    read_statuses,
+    fetch_statuses,
     require_ok_body,
     unwrap,
 )
 from gypsumusher_cli.config_commands import (
     HTTP_CONFLICT,
-    check_patch_answer,
+    check_patch_response,
     default_author,
-    read_config,
+    fetch_config,
     send_patch,
 )
 from gypsumusher_cli.errors import CommandError, InputError
 
-POLL_S = 0.5
+POLL_INTERVAL_S = 0.5
 DEFAULT_TIMEOUT_S = "600"
-# Adding a name to a list conflicts with nobody's meaning, so that a race with other
-# operators is settled by reading again, a few times.
-RACE_TRIES = 5
-# A request may be on its way to the endpoint in the instant of the first idle sight.
-IDLE_SIGHTS = 2
+# How often a patch may conflict with other operators' changes. A conflict is resolved
+# by reading the configuration again, since adding a name to a drain list, or removing
+# it, is compatible with any other change.
+MAX_PATCH_CONFLICTS = 5
+# Successive idle polls until a drain counts as finished: a request may still be on its
+# way to the endpoint at the first one.
+IDLE_POLLS = 2
 
 DRAIN_OPTIONS = [
-    option("undo", None, "Take the name off the list again."),
+    option("undo", None, "Remove the name from the drain list."),
     option("no-wait", None, "Return once the change is accepted."),
     option(
         "timeout-s",
         None,
-        "Longest wait for the end; the drain itself goes on.",
+        "Longest wait until idle; the drain itself continues.",
         flag=False,
         default=DEFAULT_TIMEOUT_S,
     ),
-    option("note", None, "Why; kept in the history.", flag=False, default=""),
+    option("note", None, "Reason; kept in the history.", flag=False, default=""),
     *ACCESS_OPTIONS,
 ]
 
 
-def drain_list(document, path):
-    """Return the list of draining names at a path of the document."""
-    part = document
+def find_drain_list(document, path):
+    """Return the drain list at a path of the configuration document."""
+    section = document
     for name in path:
-        part = part.get(name) or {}
-    return list(part.get("drain") or [])
+        section = section.get(name) or {}
+    return list(section.get("drain") or [])
 
 
-def drain_patch(path, names):
-    """Return the merge patch that sets the list of draining names at a path."""
+def build_drain_patch(path, names):
+    """Return the merge patch that sets the drain list at a path."""
     patch = {"drain": names}
     for name in reversed(path):
         patch = {name: patch}
@@ -60,49 +62,60 @@
 
 
 async def change_drain(client, path, name, undo, note):
-    """Put a name on a list of draining names, or take it off.
+    """Add a name to a drain list, or remove it.
 
     Parameters
     ----------
     client : OperatorsClient
-        Where to.
+        An open client.
     path : tuple of str
-        Where the list stands, e.g. ``("hosts",)``.
+        Keys that lead to the list, e.g. ``("hosts",)``.
     name : str
-        The host or endpoint.
+        Name of the host or endpoint.
     undo : bool
-        Take it off.
+        Remove the name instead of adding it.
     note : str
-        For the history.
+        Kept in the configuration's history.
 
     Returns
     -------
     int
-        The number of the configuration in which the list is as wished.
+        Number of the configuration in which the list has the wanted content.
+
+    Raises
+    ------
+    CommandError
+        If other operators' changes conflicted MAX_PATCH_CONFLICTS times, or the patch
+        was not accepted.
     """
-    for _ in range(RACE_TRIES):
-        config = await read_config(client)
-        names = drain_list(config["document"], path)
+    for _ in range(MAX_PATCH_CONFLICTS):
+        config = await fetch_config(client)
+        names = find_drain_list(config["document"], path)
         if (name in names) != undo:
             return config["number"]
-        wished = [item for item in names if item != name]
+        updated = [item for item in names if item != name]
         if not undo:
-            wished.append(name)
-        patch = drain_patch(path, wished)
-        answer = await send_patch(
+            updated.append(name)
+        patch = build_drain_patch(path, updated)
+        response = await send_patch(
             client, config["number"], patch, default_author(), note
         )
-        if answer.status == HTTP_CONFLICT:
+        if response.status == HTTP_CONFLICT:
             continue
-        check_patch_answer(answer, config["number"])
-        return answer.body["number"]
+        check_patch_response(response, config["number"])
+        return response.body["number"]
     raise CommandError(
-        f"others changed the configuration {RACE_TRIES} times meanwhile", "try again"
+        f"other operators' changes conflicted {MAX_PATCH_CONFLICTS} times",
+        "try again",
     )
 
 
-def endpoint_work(statuses, name):
-    """Return what an endpoint still does: its own count, and ours in flight."""
+def count_endpoint_requests(statuses, name):
+    """Return the endpoint's own count of requests, and the hosts' in flight to it.
+
+    The first is the largest count of running and waiting requests that any host has
+    received from the endpoint, the second the sum over the hosts.
+    """
     running = 0
     in_flight = 0
     for status in statuses:
@@ -115,8 +128,8 @@
     return running, in_flight
 
 
-def host_work(statuses, name):
-    """Return what a host still does, and whether its own status was seen."""
+def count_host_requests(statuses, name):
+    """Return a host's requests in flight, and whether its own status is among these."""
     for status in statuses:
         if status.get("host") != name:
             continue
@@ -128,64 +141,64 @@
 
 
 class _DrainCommand(OperatorsCommand):
-    """What draining a host and draining an endpoint have in common."""
+    """Base class of the commands that drain a host and an endpoint."""
 
-    async def operate_with(self, client):
-        """Change the configuration and wait for the work to end."""
+    async def run_with_client(self, client):
+        """Change the drain list and wait until the host or endpoint is idle."""
         name = self.argument("name")
-        timeout_s = _seconds(self.option("timeout-s"))
+        timeout_s = _parse_timeout_s(self.option("timeout-s"))
         status = require_ok_body(unwrap(await client.call("GET", "/admin/status")))
-        path = self.find_path(status, name)
+        path = self.find_drain_path(status, name)
         undo = self.option("undo")
         number = await change_drain(client, path, name, undo, self.option("note"))
         if undo:
-            self.say(f"{name} takes new work again from number {number} on")
+            self.print_line(f"{name} takes new work again from number {number} on")
             return
-        self.say(f"{name} is draining from number {number} on")
+        self.print_line(f"{name} is draining from number {number} on")
         if self.option("no-wait"):
             return
         try:
             async with asyncio.timeout(timeout_s):
-                await self._wait(client, name, number)
+                await self._wait_until_idle(client, name, number)
         except TimeoutError:
             raise CommandError(
                 f"{name} still had work after {timeout_s:g} s",
-                "the drain goes on; call this again to go on watching",
+                "the drain continues; run the command again to keep waiting",
             ) from None
-        self.say(f"{name} is drained")
-
-    async def _wait(self, client, name, number):
-        shown = None
-        sights = 0
-        while sights < IDLE_SIGHTS:
-            await asyncio.sleep(POLL_S)
-            statuses = await read_statuses(client, self.access().operators)
+        self.print_line(f"{name} is drained")
+
+    async def _wait_until_idle(self, client, name, number):
+        last_printed = None
+        idle_polls = 0
+        while idle_polls < IDLE_POLLS:
+            await asyncio.sleep(POLL_INTERVAL_S)
+            statuses = await fetch_statuses(client, self.resolve_access().operators)
             if not statuses:
                 continue
-            words, is_idle = self.describe(statuses, name)
-            behind = [
+            words, is_idle = self.describe_work(statuses, name)
+            outdated_hosts = [
                 status["host"]
                 for status in statuses
                 if status.get("config_number", 0) < number
             ]
-            if behind:
-                words += f", not yet adopted by {', '.join(behind)}"
+            if outdated_hosts:
+                words += f", not yet adopted by {', '.join(outdated_hosts)}"
                 is_idle = False
-            if words != shown:
-                self.say(f"  {words}")
-                shown = words
-            sights = sights + 1 if is_idle else 0
+            if words != last_printed:
+                self.print_line(f"  {words}")
+                last_printed = words
+            idle_polls = idle_polls + 1 if is_idle else 0
 
-    def find_path(self, status, name):
-        """Return where the list that the name belongs on stands."""
+    def find_drain_path(self, status, name):
+        """Return the path of the drain list for a name; subclasses implement it."""
         raise NotImplementedError
 
-    def describe(self, statuses, name):
-        """Return what is left to do in words, and whether that is nothing."""
+    def describe_work(self, statuses, name):
+        """Return the remaining work as text, and whether there is none."""
         raise NotImplementedError
 
 
-def _seconds(text):
+def _parse_timeout_s(text):
     try:
         value = float(text)
     except ValueError:
@@ -195,28 +208,28 @@
     raise InputError(f"--timeout-s is {text!r}", "write a number of seconds above 0")
 
 
-def _unknown(kind, name, known):
-    return InputError(f"no {kind} is called {name!r}", f"use one of {sorted(known)}")
+def _unknown_name_error(kind, name, known):
+    return InputError(f"no {kind} has the name {name!r}", f"use one of {sorted(known)}")
 
 
 class DrainHost(_DrainCommand):
-    """Drains an entry host, which then gets no new callers."""
+    """Drains an entry host, which callers are then no longer referred to."""
 
     name = "drain host"
     description = "Give an entry host no new work and wait until it has none left."
     arguments = [argument("name", "The host's name.")]
     options = DRAIN_OPTIONS
 
-    def find_path(self, status, name):
-        """Return the path of the hosts' list, if there is such a host."""
+    def find_drain_path(self, status, name):
+        """Return the path of the hosts' drain list, if the host exists."""
         known = [item["name"] for item in status.get("hosts", [])]
         if name not in known and name != status.get("host"):
-            raise _unknown("host", name, known)
+            raise _unknown_name_error("host", name, known)
         return ("hosts",)
 
-    def describe(self, statuses, name):
-        """Tell the host's state and its requests in flight."""
-        in_flight, seen = host_work(statuses, name)
+    def describe_work(self, statuses, name):
+        """Return the host's state and its requests in flight as text."""
+        in_flight, seen = count_host_requests(statuses, name)
         states = {
             item.get("state")
             for status in statuses
@@ -225,8 +238,9 @@
         }
         words = f"state {'/'.join(sorted(str(state) for state in states)) or 'gone'}"
         if not seen:
-            # Only the host itself knows what it still serves; the entry answers leave
-            # it out as soon as the configuration is in force.
+            # Only the host's own status lists its requests, so the drain can't be
+            # followed here. Responses of /v1/entry omit the host as soon as the
+            # configuration is in force, so that it gets no new callers.
             return f"{words}, its own requests are not seen from here", True
         return f"{words}, {in_flight} requests in flight", in_flight == 0
 
@@ -239,18 +253,20 @@
     arguments = [argument("name", "The endpoint's name.")]
     options = DRAIN_OPTIONS
 
-    def find_path(self, status, name):
-        """Return the path of its deployment's or service's list."""
+    def find_drain_path(self, status, name):
+        """Return the path of the drain list of the endpoint's deployment or service."""
         endpoints = status.get("endpoints", [])
         for endpoint in endpoints:
             if endpoint["name"] != name:
                 continue
             kind = "services" if endpoint.get("kind") == "service" else "deployments"
             return (kind, endpoint["group"])
-        raise _unknown("endpoint", name, [item["name"] for item in endpoints])
+        raise _unknown_name_error(
+            "endpoint", name, [item["name"] for item in endpoints]
+        )
 
-    def describe(self, statuses, name):
-        """Tell the endpoint's own count and what the asked hosts have in flight."""
-        running, in_flight = endpoint_work(statuses, name)
+    def describe_work(self, statuses, name):
+        """Return the endpoint's own count and the hosts' requests in flight as text."""
+        running, in_flight = count_endpoint_requests(statuses, name)
         words = f"{running} running or waiting there, {in_flight} in flight from here"
         return words, running == 0 and in_flight == 0
--- a/libs/cli/gypsumusher_cli/entry_cache.py
+++ b/libs/cli/gypsumusher_cli/entry_cache.py
@@ -1,41 +1,41 @@
-"""Remembers which entry hosts to use, as callers do, and asks again when it is old."""
+"""Caches the entry hosts that a caller should use, as returned by ``/v1/entry``."""
 
 import asyncio
 from typing import NamedTuple
 
 import aiohttp
 
-ASK_TIMEOUT_S = 2.0
-# An answer without an age is kept for as short a time as keeps the asking rare.
+QUERY_TIMEOUT_S = 2.0
+# For a response without max_age_s: short, but long enough to keep queries rare.
 DEFAULT_MAX_AGE_S = 1.0
 
 
-class KnownHosts(NamedTuple):
-    """The hosts of one answer, and the time until which it may be used."""
+class CachedHosts(NamedTuple):
+    """The hosts of one response, and the loop's time until which they are valid."""
 
     addresses: tuple[str, ...]
-    until_s: float
+    expires_at_s: float
 
 
-class EntryCache:
-    """What the system last answered to "which hosts do I use?", per target.
+class EntryHostCache:
+    """The last response of ``/v1/entry`` per deployment, queried again when expired.
 
     Parameters
     ----------
     session : aiohttp.ClientSession
-        The session to ask through.
+        The HTTP session for queries.
     seeds : sequence of str
-        Addresses (``IP:PORT``) of hosts that may be asked.
+        Addresses (``IP:PORT``) of hosts to query when no cached host responds.
     zone : str
-        The caller's own availability zone, or an empty string.
+        The caller's availability zone, or an empty string.
     """
 
     def __init__(self, session, seeds, zone=""):
         self._session = session
-        self._seeds = tuple(seeds)
+        self._seed_addresses = tuple(seeds)
         self._zone = zone
-        self._known = {}
-        self._asking = {}
+        self._cached = {}
+        self._pending_queries = {}
 
     async def addresses(self, now_s, deployment):
         """Return the addresses to use for a deployment, best first.
@@ -45,61 +45,65 @@
         now_s : float
             The loop's time.
         deployment : str
-            Its name, or an empty string for plain services.
+            The deployment's name, or an empty string for plain services.
 
         Returns
         -------
         tuple of str
-            Never empty: the given hosts themselves when none of them answers.
+            The seeds when no host responds.
         """
-        known = self._known.get(deployment)
-        if known is not None and now_s < known.until_s:
-            return known.addresses
-        # One question at a time a target: thousands of waiting requests would else ask
-        # the same thing in the same instant.
-        task = self._asking.get(deployment)
+        cached = self._cached.get(deployment)
+        if cached is not None and now_s < cached.expires_at_s:
+            return cached.addresses
+        # One query at a time per deployment: otherwise thousands of waiting requests
+        # would send the same query at once.
+        task = self._pending_queries.get(deployment)
         if task is None:
-            task = asyncio.ensure_future(self._ask(now_s, deployment))
-            self._asking[deployment] = task
-            task.add_done_callback(lambda _: self._asking.pop(deployment, None))
+            task = asyncio.ensure_future(self._query_hosts(now_s, deployment))
+            self._pending_queries[deployment] = task
+            task.add_done_callback(
+                lambda _: self._pending_queries.pop(deployment, None)
+            )
         return await asyncio.shield(task)
 
-    def forget(self, deployment, address):
-        """Drop an address that refused a connection; the rest stay in use."""
-        known = self._known.get(deployment)
-        if known is None:
+    def remove_address(self, deployment, address):
+        """Remove an address that refused a connection; the others stay cached."""
+        cached = self._cached.get(deployment)
+        if cached is None:
             return
-        rest = tuple(item for item in known.addresses if item != address)
+        rest = tuple(item for item in cached.addresses if item != address)
         if rest:
-            self._known[deployment] = known._replace(addresses=rest)
+            self._cached[deployment] = cached._replace(addresses=rest)
             return
-        del self._known[deployment]
+        del self._cached[deployment]
 
-    async def _ask(self, now_s, deployment):
+    async def _query_hosts(self, now_s, deployment):
         params = {}
         if deployment:
             params["deployment"] = deployment
         if self._zone:
             params["zone"] = self._zone
-        known = self._known.get(deployment)
-        asked = [*(known.addresses if known else ()), *self._seeds]
-        for address in dict.fromkeys(asked):
-            answer = await self._ask_host(address, params)
-            if answer is None:
+        cached = self._cached.get(deployment)
+        candidates = [*(cached.addresses if cached else ()), *self._seed_addresses]
+        for address in dict.fromkeys(candidates):
+            response = await self._query_host(address, params)
+            if response is None:
                 continue
-            addresses, max_age_s = answer
-            self._known[deployment] = KnownHosts(addresses, now_s + max_age_s)
+            addresses, max_age_s = response
+            self._cached[deployment] = CachedHosts(addresses, now_s + max_age_s)
             return addresses
-        return self._seeds
+        return self._seed_addresses
 
-    async def _ask_host(self, address, params):
-        timeout = aiohttp.ClientTimeout(total=ASK_TIMEOUT_S)
+    async def _query_host(self, address, params):
+        timeout = aiohttp.ClientTimeout(total=QUERY_TIMEOUT_S)
         url = f"http://{address}/v1/entry"
         try:
-            async with self._session.get(url, params=params, timeout=timeout) as answer:
-                if answer.status != 200:
+            async with self._session.get(
+                url, params=params, timeout=timeout
+            ) as response:
+                if response.status != 200:
                     return None
-                body = await answer.json()
+                body = await response.json()
         except (aiohttp.ClientError, TimeoutError, OSError, ValueError):
             return None
         addresses = tuple(item["address"] for item in body.get("hosts", ()))
--- a/libs/cli/gypsumusher_cli/errors.py
+++ b/libs/cli/gypsumusher_cli/errors.py
@@ -1,4 +1,4 @@
-"""The one family of errors that a user of the tool can cause, with their exit codes."""
+"""Errors that commands report to the user, with the exit code of each."""
 
 from typing import NamedTuple
 
@@ -8,51 +8,51 @@
 
 
 class CommandError(Exception):
-    """A command can't do what was asked; the message says what and how to mend it.
+    """Raised when a command can't do what the user asked.
 
     Parameters
     ----------
     problem : str
         What is wrong, naming the argument, file or key and the value seen.
-    mend : str
-        What to do about it.
+    hint : str
+        What the user can do about it; empty when there is nothing to suggest.
     """
 
     exit_code = EXIT_FAILED
 
-    def __init__(self, problem, mend=""):
+    def __init__(self, problem, hint=""):
         super().__init__(problem)
         self.problem = problem
-        self.mend = mend
+        self.hint = hint
 
     def __str__(self):
-        """Return the problem and its mend as one line."""
-        return f"{self.problem}; {self.mend}" if self.mend else self.problem
+        """Return the problem and the hint as one message."""
+        return f"{self.problem}; {self.hint}" if self.hint else self.problem
 
 
 class InputError(CommandError):
-    """What the user typed, or a file that it names, can't be used as it is."""
+    """Raised for an invalid argument, option or input file."""
 
     exit_code = EXIT_USAGE
 
 
 class FileProblem(NamedTuple):
-    """One thing that is wrong in a checked file, and how to mend it."""
+    """One invalid key of an input file, and a hint on how to correct it."""
 
     path: str
     problem: str
-    mend: str
+    hint: str
 
 
-def raise_problems(source, problems):
-    """Raise one error that lists all problems found in a file.
+def raise_if_problems(source, problems):
+    """Raise one error that lists all problems of a file, if there are any.
 
     Parameters
     ----------
     source : str
-        The file's name.
+        The file's name, for the message.
     problems : list of FileProblem
-        What was found; nothing is raised when it is empty.
+        The problems found; nothing is raised when the list is empty.
 
     Raises
     ------
@@ -61,5 +61,5 @@
     """
     if not problems:
         return
-    lines = [f"  {item.path}: {item.problem}; {item.mend}" for item in problems]
+    lines = [f"  {item.path}: {item.problem}; {item.hint}" for item in problems]
     raise InputError("\n".join([f"{source} can't be used:", *lines]))
--- a/libs/cli/gypsumusher_cli/load_commands.py
+++ b/libs/cli/gypsumusher_cli/load_commands.py
@@ -1,4 +1,4 @@
-"""The commands that run a load and compare two reports."""
+"""The load commands: run a load, and compare two saved reports."""
 
 import asyncio
 
@@ -19,7 +19,7 @@
 
 
 def format_progress(progress):
-    """Return one line that tells how far a load has come."""
+    """Return the progress of a running load as one line."""
     results = ", ".join(f"{name} {n}" for name, n in sorted(progress.results.items()))
     return (
         f"{progress.elapsed_s:5.1f} s: sent {progress.sent} of {progress.planned}, "
@@ -28,58 +28,58 @@
 
 
 class LoadRunCommand(ToolCommand):
-    """Sends a load and prints its table."""
+    """Sends a load and prints its report."""
 
     name = "load run"
-    description = "Send the load that a file describes and print what came of it."
+    description = "Send the load that a file describes and print its report."
     arguments = [argument("file", "YAML file: streams, rates, shifts, classes.")]
     options = [
         option("callers", None, "Callers' addresses, IP:PORT[,IP:PORT].", flag=False),
-        option("zone", None, "Own availability zone.", flag=False, default=""),
+        option("zone", None, "The callers' availability zone.", flag=False, default=""),
         option("save", None, "Also write the report to this file.", flag=False),
-        option("no-progress", None, "Print the table only."),
+        option("no-progress", None, "Print the report only."),
         *ACCESS_OPTIONS,
     ]
 
-    async def operate(self):
-        """Run the load; fail when an answer was lost or wrong."""
-        access = self.access()
+    async def run_command(self):
+        """Run the load; raise an error when a response was lost or wrong."""
+        access = self.resolve_access()
         require_callers(access)
-        mix = read_load_spec(self.argument("file"))
+        spec = read_load_spec(self.argument("file"))
         loop = asyncio.get_running_loop()
         started_s = loop.time()
         outcomes = await run_load(
-            mix,
+            spec,
             LoadOptions(hosts=access.callers, zone=self.option("zone")),
-            None if self.option("no-progress") else self._show,
+            None if self.option("no-progress") else self._print_progress,
         )
-        report = summarize(mix, outcomes, loop.time() - started_s)
-        self.say(format_report(report))
+        report = summarize(spec, outcomes, loop.time() - started_s)
+        self.print_line(format_report(report))
         if self.option("save"):
             save_report(report, self.option("save"))
         if report.fault_count():
             raise CommandError(
-                f"{report.fault_count()} answers were lost, doubled, "
+                f"{report.fault_count()} responses were lost, doubled, "
                 "incomplete or crossed",
                 "look the requests up with `gypsumusher explain`",
             )
 
-    def _show(self, progress):
+    def _print_progress(self, progress):
         self.line_error(format_progress(progress))
 
 
 class LoadCompare(ToolCommand):
-    """Prints what changed between two saved reports."""
+    """Prints the differences between two saved reports."""
 
     name = "load compare"
-    description = "Print what changed from one saved report to another."
+    description = "Print the differences between two saved reports."
     arguments = [
         argument("before", "A file that `load run --save` wrote."),
-        argument("after", "Another one."),
+        argument("after", "The file of a later run."),
     ]
 
-    async def operate(self):
-        """Read both reports and print the table."""
+    async def run_command(self):
+        """Read both reports and print their comparison."""
         before = read_report(self.argument("before"))
         after = read_report(self.argument("after"))
-        self.say(compare_reports(before, after))
+        self.print_line(compare_reports(before, after))
--- a/libs/cli/gypsumusher_cli/load_report.py
+++ b/libs/cli/gypsumusher_cli/load_report.py
@@ -1,4 +1,4 @@
-"""Sums a load's outcomes up per class: times, refusals, faults and goodput."""
+"""Reports of a load per class: latencies, refusals, faults and goodput."""
 
 import collections
 import json
@@ -9,18 +9,41 @@
 
 from gypsumusher_cli.errors import InputError
 
-FORMAT = "gypsumusher-load-report-1"
-HIGHEST_MS = 3_600_000
+REPORT_FORMAT = "gypsumusher-load-report-1"
+# Range of the histograms: one hour.
+MAX_TIME_MS = 3_600_000
 SIGNIFICANT_DIGITS = 3
-# Histograms count in steps of a microsecond: gaps between tokens are a few hundred.
-STEPS_PER_S = 1_000_000
+# Histograms count microseconds, since times between tokens are only a few hundred.
+MICROSECONDS_PER_S = 1_000_000
 TIMES = ("first_token", "between_tokens", "whole_answer")
 FAULTS = ("lost", "doubled", "incomplete", "crossed")
 PERCENTILES = (50.0, 95.0, 99.0)
 
 
 class ClassReport(NamedTuple):
-    """One class of one deployment or service, summed up."""
+    """Counts and times of one request class of one deployment or service.
+
+    Attributes
+    ----------
+    target : str
+        The deployment or service.
+    class_name : str
+        The request class.
+    sent, served : int
+        Requests sent, and those of them that were served correctly.
+    on_time, on_time_tokens : int
+        Requests that met their class's targets, and their output tokens.
+    refused : dict of str to int
+        Refused requests by code.
+    lost, doubled, incomplete, crossed : int
+        Faulty responses by fault.
+    resumed : int
+        Requests whose response was resumed at least once.
+    goodput_per_s : float
+        Requests on time per second of the run.
+    times : dict of str to HdrHistogram
+        Histograms of served requests, in microseconds; the keys are TIMES.
+    """
 
     target: str
     class_name: str
@@ -39,7 +62,10 @@
 
 
 class Report(NamedTuple):
-    """A whole run, summed up."""
+    """Report of a whole run.
+
+    ``role_changes`` tells how often engines changed role; None where that is unknown.
+    """
 
     duration_s: float
     seed: int
@@ -47,7 +73,7 @@
     role_changes: int | None
 
     def fault_count(self):
-        """Return how many answers were lost, doubled, incomplete or crossed."""
+        """Return how many responses were lost, doubled, incomplete or crossed."""
         total = 0
         for item in self.classes:
             total += item.lost + item.doubled + item.incomplete + item.crossed
@@ -55,36 +81,36 @@
 
 
 def new_histogram():
-    """Return an empty histogram of microseconds up to an hour."""
-    return HdrHistogram(1, HIGHEST_MS * 1000, SIGNIFICANT_DIGITS)
+    """Return an empty histogram of microseconds from 1 to MAX_TIME_MS."""
+    return HdrHistogram(1, MAX_TIME_MS * 1000, SIGNIFICANT_DIGITS)
 
 
 def record_s(histogram, seconds):
-    """Count one time, in seconds, in a histogram."""
-    histogram.record_value(max(1, round(seconds * STEPS_PER_S)))
+    """Record a time given in seconds; a time below 1 us counts as 1 us."""
+    histogram.record_value(max(1, round(seconds * MICROSECONDS_PER_S)))
 
 
 def percentile_s(histogram, percentile):
-    """Return a percentile in seconds, or None when nothing was counted."""
+    """Return a percentile in seconds, or None when the histogram is empty."""
     if histogram.get_total_count() == 0:
         return None
-    return histogram.get_value_at_percentile(percentile) / STEPS_PER_S
+    return histogram.get_value_at_percentile(percentile) / MICROSECONDS_PER_S
 
 
 def mark_duplicate_runs(outcomes, runs):
-    """Mark the non-idempotent requests that endpoints ran more than once.
+    """Mark non-idempotent requests that endpoints ran more than once as doubled.
 
     Parameters
     ----------
     outcomes : list of Outcome
-        What the callers saw.
+        Outcomes as the callers saw them.
     runs : dict of str to int
-        How often endpoints ran each prompt, by its fingerprint.
+        How often endpoints ran each prompt, by the prompt's fingerprint.
 
     Returns
     -------
     list of Outcome
-        The outcomes, with ``result`` doubled where a prompt ran twice.
+        The outcomes, with ``result`` doubled where a prompt ran more than once.
     """
     marked = []
     for outcome in outcomes:
@@ -96,24 +122,24 @@
     return marked
 
 
-def summarize(mix, outcomes, elapsed_s, role_changes=None):
-    """Sum a run up.
+def summarize(spec, outcomes, elapsed_s, role_changes=None):
+    """Return the report of a run.
 
     Parameters
     ----------
-    mix : LoadSpec
+    spec : LoadSpec
         The load.
     outcomes : list of Outcome
-        How each request ended.
+        The outcome of each request.
     elapsed_s : float
-        How long the run took, which goodput is counted over.
+        Duration of the run, over which goodput is computed.
     role_changes : int, optional
         How often engines changed role, where that is known.
 
     Returns
     -------
     Report
-        One line a class, in order of their names.
+        Classes in order of target and name.
     """
     groups = collections.defaultdict(list)
     for outcome in outcomes:
@@ -122,7 +148,7 @@
         _summarize_class(target, class_name, groups[target, class_name], elapsed_s)
         for target, class_name in sorted(groups)
     )
-    return Report(elapsed_s, mix.seed, classes, role_changes)
+    return Report(elapsed_s, spec.seed, classes, role_changes)
 
 
 def _summarize_class(target, class_name, outcomes, elapsed_s):
@@ -145,25 +171,25 @@
         crossed=counts["crossed"],
         resumed=sum(1 for item in outcomes if item.resumes),
         goodput_per_s=len(on_time) / elapsed_s,
-        times=_histograms(outcomes),
+        times=_record_times(outcomes),
     )
 
 
-def _histograms(outcomes):
+def _record_times(outcomes):
     times = {name: new_histogram() for name in TIMES}
     for outcome in outcomes:
         if outcome.result != "served":
             continue
-        record_s(times["whole_answer"], outcome.whole_s)
+        record_s(times["whole_answer"], outcome.total_s)
         if outcome.first_token_s is not None:
             record_s(times["first_token"], outcome.first_token_s)
-        for gap_s in outcome.gaps_s:
+        for gap_s in outcome.inter_token_s:
             record_s(times["between_tokens"], gap_s)
     return times
 
 
 def save_report(report, path):
-    """Write a report as JSON, with its whole histograms.
+    """Write a report as JSON, with its complete histograms.
 
     Raises
     ------
@@ -171,30 +197,30 @@
         If the file can't be written.
     """
     body = {
-        "format": FORMAT,
+        "format": REPORT_FORMAT,
         "duration_s": report.duration_s,
         "seed": report.seed,
         "role_changes": report.role_changes,
-        "classes": [_class_to_json(item) for item in report.classes],
+        "classes": [_class_to_dict(item) for item in report.classes],
     }
     try:
         pathlib.Path(path).write_text(json.dumps(body, indent=1) + "\n")
     except OSError as error:
         raise InputError(
-            f"report {path} can't be written ({error})", "name a writable place"
+            f"report {path} can't be written ({error})", "name a writable path"
         ) from error
 
 
-def _class_to_json(item):
+def _class_to_dict(item):
     body = item._asdict()
     body["times"] = {
-        name: {"histogram": _encoded(histogram), **_percentiles(histogram)}
+        name: {"histogram": _encode_histogram(histogram), **_percentiles(histogram)}
         for name, histogram in item.times.items()
     }
     return body
 
 
-def _encoded(histogram):
+def _encode_histogram(histogram):
     encoded = histogram.encode()
     return encoded.decode() if isinstance(encoded, bytes) else encoded
 
@@ -222,13 +248,13 @@
     Raises
     ------
     InputError
-        If the file is not such a report.
+        If the file can't be read or is not such a report.
     """
     try:
         body = json.loads(pathlib.Path(path).read_text())
-        if body["format"] != FORMAT:
+        if body["format"] != REPORT_FORMAT:
             raise ValueError(f"its format is {body['format']!r}")
-        classes = tuple(_class_from_json(item) for item in body["classes"])
+        classes = tuple(_class_from_dict(item) for item in body["classes"])
         return Report(
             body["duration_s"], body["seed"], classes, body.get("role_changes")
         )
@@ -239,7 +265,7 @@
         ) from error
 
 
-def _class_from_json(item):
+def _class_from_dict(item):
     times = {}
     for name in TIMES:
         encoded = item["times"][name]["histogram"].encode()
@@ -248,7 +274,7 @@
 
 
 def format_report(report):
-    """Return the run's table as text: one line a class, then the sums.
+    """Return a report as text: a line per class, then refusals and totals.
 
     Parameters
     ----------
@@ -258,7 +284,7 @@
     Returns
     -------
     str
-        Lines without a last line end.
+        Lines without a trailing line end.
     """
     head = (
         "target",
@@ -273,17 +299,17 @@
         "between p50/p95 ms",
         "whole p50/p95 s",
     )
-    rows = [head, *(_row(item) for item in report.classes)]
-    lines = align(rows)
+    rows = [head, *(_format_row(item) for item in report.classes)]
+    lines = align_columns(rows)
     for item in report.classes:
         for reason, count in item.refused.items():
             name = f"{item.target}/{item.class_name}"
             lines.append(f"refused {name}: {reason} {count}")
-    lines.append(_sums(report))
+    lines.append(_format_totals(report))
     return "\n".join(lines)
 
 
-def _row(item):
+def _format_row(item):
     faults = item.lost + item.doubled + item.incomplete + item.crossed
     return (
         item.target,
@@ -294,13 +320,13 @@
         str(sum(item.refused.values())),
         str(faults),
         f"{item.goodput_per_s:.2f}",
-        _pair(item.times["first_token"], 1.0, 3),
-        _pair(item.times["between_tokens"], 1000.0, 1),
-        _pair(item.times["whole_answer"], 1.0, 3),
+        _format_percentiles(item.times["first_token"], 1.0, 3),
+        _format_percentiles(item.times["between_tokens"], 1000.0, 1),
+        _format_percentiles(item.times["whole_answer"], 1.0, 3),
     )
 
 
-def _pair(histogram, scale, digits):
+def _format_percentiles(histogram, scale, digits):
     values = []
     for percentile in (50.0, 95.0):
         seconds = percentile_s(histogram, percentile)
@@ -308,7 +334,7 @@
     return "/".join(values)
 
 
-def _sums(report):
+def _format_totals(report):
     sums = collections.Counter()
     for item in report.classes:
         sums["sent"] += item.sent
@@ -327,7 +353,7 @@
     return "total: " + ", ".join(parts)
 
 
-def align(rows):
+def align_columns(rows):
     """Return rows of cells as lines with aligned columns."""
     widths = [max(len(row[i]) for row in rows) for i in range(len(rows[0]))]
     lines = []
@@ -338,17 +364,17 @@
 
 
 def compare_reports(before, after):
-    """Return a table of what changed from one report to another.
+    """Return a table that compares two reports.
 
     Parameters
     ----------
     before, after : Report
-        Two runs.
+        Reports of two runs.
 
     Returns
     -------
     str
-        One line a class that both hold, and one for each that only one holds.
+        A line per class; a class that only one report has is ``absent`` in the other.
     """
     old = {(item.target, item.class_name): item for item in before.classes}
     new = {(item.target, item.class_name): item for item in after.classes}
@@ -364,13 +390,13 @@
     )
     rows = [head]
     for name in sorted(old.keys() | new.keys()):
-        rows.append(_compare_row(name, old.get(name), new.get(name)))
-    return "\n".join(align(rows))
+        rows.append(_format_comparison_row(name, old.get(name), new.get(name)))
+    return "\n".join(align_columns(rows))
 
 
-def _compare_row(name, old, new):
+def _format_comparison_row(name, old, new):
     def change(value):
-        return f"{_cell(old, value)} -> {_cell(new, value)}"
+        return f"{_format_cell(old, value)} -> {_format_cell(new, value)}"
 
     return (
         *name,
@@ -378,15 +404,15 @@
         change(lambda item: str(sum(item.refused.values()))),
         change(lambda item: str(sum(getattr(item, fault) for fault in FAULTS))),
         change(lambda item: f"{item.goodput_per_s:.2f}"),
-        change(lambda item: _p95(item.times["first_token"])),
-        change(lambda item: _p95(item.times["whole_answer"])),
+        change(lambda item: _format_p95(item.times["first_token"])),
+        change(lambda item: _format_p95(item.times["whole_answer"])),
     )
 
 
-def _cell(item, value):
+def _format_cell(item, value):
     return "absent" if item is None else value(item)
 
 
-def _p95(histogram):
+def _format_p95(histogram):
     seconds = percentile_s(histogram, 95.0)
     return "-" if seconds is None else f"{seconds:.3f}"
--- a/libs/cli/gypsumusher_cli/load_spec.py
+++ b/libs/cli/gypsumusher_cli/load_spec.py
@@ -1,6 +1,6 @@
-"""The checked description of a load: its streams, rates, shifts, tenants and classes.
+"""Load specifications: streams of requests, rates, rate shifts, tenants and classes.
 
-A mix file is YAML::
+A load file is YAML::
 
     seed: 7
     duration_s: 8.0
@@ -30,26 +30,32 @@
 
 import yaml
 
-from gypsumusher_cli.errors import FileProblem, InputError, raise_problems
+from gypsumusher_cli.errors import FileProblem, InputError, raise_if_problems
 
 DEFAULT_TENANT = "anonymous"
-SHORTEST_PROMPT_CHARS = 64
-LONGEST_PROMPT_CHARS = 4_000_000
-LONGEST_OUTPUT_TOKENS = 1_000_000
-HIGHEST_RATE_PER_S = 100_000.0
-LONGEST_LOAD_S = 7 * 24 * 3600.0
-LONGEST_WAIT_S = 24 * 3600.0
+# Leaves room for the marker that makes each prompt unique; see make_prompt.
+MIN_PROMPT_CHARS = 64
+MAX_PROMPT_CHARS = 4_000_000
+MAX_OUTPUT_TOKENS = 1_000_000
+MAX_RATE_PER_S = 100_000.0
+MAX_DURATION_S = 7 * 24 * 3600.0
+# Upper bound of a class's first_token_s and deadline_s.
+MAX_TARGET_S = 24 * 3600.0
 
 
 class ClassTarget(NamedTuple):
-    """What makes an answer of one class on time."""
+    """Latency targets of a request class; a response that meets both is on time."""
 
     first_token_s: float
     deadline_s: float
 
 
 class Stream(NamedTuple):
-    """One kind of request, sent at one rate."""
+    """One kind of request, sent at one rate.
+
+    Exactly one of ``deployment`` and ``service`` is set. Pairs are the lowest and
+    highest value of a uniform distribution; ``tenants`` maps names to weights.
+    """
 
     name: str
     deployment: str
@@ -65,14 +71,18 @@
 
 
 class Shift(NamedTuple):
-    """From ``at_s`` on, the named streams run at other rates."""
+    """A change of the named streams' rates at ``at_s``, counted from the start."""
 
     at_s: float
     rates_per_s: dict[str, float]
 
 
 class LoadSpec(NamedTuple):
-    """A whole load, as read and checked from a file."""
+    """A load, as read and validated from a file.
+
+    ``obey_retry_after`` tells whether refused requests are sent again after their
+    response's retry_after_s.
+    """
 
     seed: int
     duration_s: float
@@ -83,7 +93,7 @@
 
 
 class Arrival(NamedTuple):
-    """One request of the load: when it is sent and what it asks for."""
+    """One planned request: its time, in seconds from the start, and its contents."""
 
     number: int
     at_s: float
@@ -94,49 +104,53 @@
     non_idempotent: bool
 
 
-class _Checker:
-    """Collects what is wrong with a document while it is read."""
+class _Validator:
+    """Reads values from a parsed document and collects the problems it finds."""
 
     def __init__(self):
         self.problems = []
 
-    def add(self, path, problem, mend):
-        """Note one problem."""
-        self.problems.append(FileProblem(path, problem, mend))
+    def add_problem(self, path, problem, hint):
+        """Record one problem."""
+        self.problems.append(FileProblem(path, problem, hint))
 
     def mapping(self, value, path):
-        """Return the value if it is a mapping, else note it and return an empty one."""
+        """Return a mapping, or ``{}`` and record a problem if it is none."""
         if isinstance(value, dict):
             return value
-        self.add(path, f"is {value!r}", "write a mapping of keys to values")
+        self.add_problem(path, f"is {value!r}", "write a mapping of keys to values")
         return {}
 
-    def only(self, mapping, path, known):
-        """Note each key that the format doesn't know."""
+    def reject_unknown_keys(self, mapping, path, known):
+        """Record a problem for each key that is not in ``known``."""
         for key in mapping:
             if key in known:
                 continue
-            self.add(f"{path}{key}", "is not a known key", f"use one of {known}")
+            self.add_problem(
+                f"{path}{key}", "is not a known key", f"use one of {known}"
+            )
 
-    def number(self, mapping, path, key, low, high, default=None, whole=False):
-        """Return a number between two bounds, or the default when it is absent."""
+    def number(self, mapping, path, key, low, high, default=None, integer=False):
+        """Return a number from ``low`` to ``high``, or the default when absent."""
         value = mapping.get(key, default)
-        kinds = int if whole else (int, float)
+        kinds = int if integer else (int, float)
         if isinstance(value, kinds) and not isinstance(value, bool):
             if low <= value <= high:
-                return value if whole else float(value)
-        kind = "a whole number" if whole else "a number"
-        self.add(f"{path}{key}", f"is {value!r}", f"write {kind} from {low} to {high}")
+                return value if integer else float(value)
+        kind = "a whole number" if integer else "a number"
+        self.add_problem(
+            f"{path}{key}", f"is {value!r}", f"write {kind} from {low} to {high}"
+        )
         return low
 
     def pair(self, mapping, path, key, low, high, default):
-        """Return a (lowest, highest) pair of whole numbers."""
+        """Return a (lowest, highest) pair of integers, or the default when absent."""
         value = mapping.get(key, default)
         if isinstance(value, (list, tuple)) and len(value) == 2:
-            whole = all(type(item) is int for item in value)
-            if whole and low <= value[0] <= value[1] <= high:
+            integers = all(type(item) is int for item in value)
+            if integers and low <= value[0] <= value[1] <= high:
                 return (value[0], value[1])
-        self.add(
+        self.add_problem(
             f"{path}{key}",
             f"is {value!r}",
             f"write [lowest, highest], whole numbers from {low} to {high}",
@@ -148,7 +162,7 @@
         value = mapping.get(key, default)
         if isinstance(value, str):
             return value
-        self.add(f"{path}{key}", f"is {value!r}", "write a string")
+        self.add_problem(f"{path}{key}", f"is {value!r}", "write a string")
         return default
 
     def flag(self, mapping, path, key, default):
@@ -156,28 +170,28 @@
         value = mapping.get(key, default)
         if isinstance(value, bool):
             return value
-        self.add(f"{path}{key}", f"is {value!r}", "write true or false")
+        self.add_problem(f"{path}{key}", f"is {value!r}", "write true or false")
         return default
 
 
-def _check_class(checker, name, value):
+def _parse_class(validator, name, value):
     path = f"classes.{name}."
-    mapping = checker.mapping(value, path[:-1])
-    checker.only(mapping, path, ClassTarget._fields)
+    mapping = validator.mapping(value, path[:-1])
+    validator.reject_unknown_keys(mapping, path, ClassTarget._fields)
     return ClassTarget(
-        checker.number(mapping, path, "first_token_s", 0.001, LONGEST_WAIT_S),
-        checker.number(mapping, path, "deadline_s", 0.001, LONGEST_WAIT_S),
+        validator.number(mapping, path, "first_token_s", 0.001, MAX_TARGET_S),
+        validator.number(mapping, path, "deadline_s", 0.001, MAX_TARGET_S),
     )
 
 
-def _check_tenants(checker, mapping, path):
+def _parse_tenants(validator, mapping, path):
     value = mapping.get("tenants", {DEFAULT_TENANT: 1.0})
-    tenants = checker.mapping(value, f"{path}tenants")
+    tenants = validator.mapping(value, f"{path}tenants")
     if not tenants:
         return {DEFAULT_TENANT: 1.0}
     checked = {}
     for tenant in tenants:
-        share = checker.number(tenants, f"{path}tenants.", tenant, 0.000001, 1e9)
+        share = validator.number(tenants, f"{path}tenants.", tenant, 0.000001, 1e9)
         checked[str(tenant)] = share
     return checked
 
@@ -196,81 +210,81 @@
 )
 
 
-def _check_stream(checker, name, value, classes):
+def _parse_stream(validator, name, value, classes):
     path = f"streams.{name}."
-    mapping = checker.mapping(value, path[:-1])
-    checker.only(mapping, path, _STREAM_KEYS)
-    deployment = checker.text(mapping, path, "deployment", "")
-    service = checker.text(mapping, path, "service", "")
+    mapping = validator.mapping(value, path[:-1])
+    validator.reject_unknown_keys(mapping, path, _STREAM_KEYS)
+    deployment = validator.text(mapping, path, "deployment", "")
+    service = validator.text(mapping, path, "service", "")
     if bool(deployment) == bool(service):
-        mend = "name either a deployment or a service"
-        checker.add(path[:-1], "needs exactly one target", mend)
-    class_name = checker.text(mapping, path, "class", "")
+        hint = "name either a deployment or a service"
+        validator.add_problem(path[:-1], "needs exactly one target", hint)
+    class_name = validator.text(mapping, path, "class", "")
     if class_name not in classes:
-        mend = f"name one of the file's classes: {sorted(classes)}"
-        checker.add(f"{path}class", f"is {class_name!r}", mend)
-    url_path = checker.text(mapping, path, "path", "/")
+        hint = f"name one of the file's classes: {sorted(classes)}"
+        validator.add_problem(f"{path}class", f"is {class_name!r}", hint)
+    url_path = validator.text(mapping, path, "path", "/")
     if not url_path.startswith("/"):
-        checker.add(f"{path}path", f"is {url_path!r}", "begin it with /")
+        validator.add_problem(f"{path}path", f"is {url_path!r}", "start it with /")
     return Stream(
         name=str(name),
         deployment=deployment,
         service=service,
         path=url_path,
         class_name=class_name,
-        rate_per_s=checker.number(mapping, path, "rate_per_s", 0.0, HIGHEST_RATE_PER_S),
-        prompt_chars=checker.pair(
+        rate_per_s=validator.number(mapping, path, "rate_per_s", 0.0, MAX_RATE_PER_S),
+        prompt_chars=validator.pair(
             mapping,
             path,
             "prompt_chars",
-            SHORTEST_PROMPT_CHARS,
-            LONGEST_PROMPT_CHARS,
+            MIN_PROMPT_CHARS,
+            MAX_PROMPT_CHARS,
             (256, 256),
         ),
-        output_tokens=checker.pair(
-            mapping, path, "output_tokens", 1, LONGEST_OUTPUT_TOKENS, (16, 16)
+        output_tokens=validator.pair(
+            mapping, path, "output_tokens", 1, MAX_OUTPUT_TOKENS, (16, 16)
         ),
-        shared_prefix_chars=checker.number(
+        shared_prefix_chars=validator.number(
             mapping,
             path,
             "shared_prefix_chars",
             0,
-            LONGEST_PROMPT_CHARS,
+            MAX_PROMPT_CHARS,
             default=0,
-            whole=True,
+            integer=True,
         ),
-        non_idempotent_share=checker.number(
+        non_idempotent_share=validator.number(
             mapping, path, "non_idempotent_share", 0.0, 1.0, default=0.0
         ),
-        tenants=_check_tenants(checker, mapping, path),
+        tenants=_parse_tenants(validator, mapping, path),
     )
 
 
-def _check_shift(checker, position, value, streams):
+def _parse_shift(validator, position, value, streams):
     path = f"shifts[{position}]."
-    mapping = checker.mapping(value, path[:-1])
-    checker.only(mapping, path, Shift._fields)
-    rates = checker.mapping(mapping.get("rates_per_s"), f"{path}rates_per_s")
+    mapping = validator.mapping(value, path[:-1])
+    validator.reject_unknown_keys(mapping, path, Shift._fields)
+    rates = validator.mapping(mapping.get("rates_per_s"), f"{path}rates_per_s")
     checked = {}
     for name in rates:
         if name not in streams:
-            mend = f"name one of the file's streams: {sorted(streams)}"
-            checker.add(f"{path}rates_per_s.{name}", "is no stream", mend)
+            hint = f"name one of the file's streams: {sorted(streams)}"
+            validator.add_problem(f"{path}rates_per_s.{name}", "is no stream", hint)
             continue
-        checked[name] = checker.number(
-            rates, f"{path}rates_per_s.", name, 0.0, HIGHEST_RATE_PER_S
+        checked[name] = validator.number(
+            rates, f"{path}rates_per_s.", name, 0.0, MAX_RATE_PER_S
         )
-    at_s = checker.number(mapping, path, "at_s", 0.0, LONGEST_LOAD_S)
+    at_s = validator.number(mapping, path, "at_s", 0.0, MAX_DURATION_S)
     return Shift(at_s, checked)
 
 
 def parse_load_spec(document, source="load file"):
-    """Check a parsed load description whole.
+    """Return the load specification in a parsed YAML document.
 
     Parameters
     ----------
     document : object
-        What the YAML file holds.
+        The parsed content of the YAML file.
     source : str
         The file's name, for messages.
 
@@ -282,43 +296,43 @@
     Raises
     ------
     InputError
-        If anything is wrong; the message lists every problem and its mend.
+        If anything is invalid; the message lists every problem with a hint.
     """
-    checker = _Checker()
-    mapping = checker.mapping(document, "the file")
-    checker.only(mapping, "", LoadSpec._fields)
+    validator = _Validator()
+    mapping = validator.mapping(document, "the file")
+    validator.reject_unknown_keys(mapping, "", LoadSpec._fields)
     classes = {
-        str(name): _check_class(checker, name, value)
-        for name, value in checker.mapping(mapping.get("classes"), "classes").items()
+        str(name): _parse_class(validator, name, value)
+        for name, value in validator.mapping(mapping.get("classes"), "classes").items()
     }
-    listed = checker.mapping(mapping.get("streams"), "streams")
+    stream_documents = validator.mapping(mapping.get("streams"), "streams")
     streams = {
-        str(name): _check_stream(checker, name, value, classes)
-        for name, value in listed.items()
+        str(name): _parse_stream(validator, name, value, classes)
+        for name, value in stream_documents.items()
     }
     if not streams:
-        checker.add("streams", "names no stream", "describe at least one")
+        validator.add_problem("streams", "names no stream", "describe at least one")
     shifts = mapping.get("shifts", [])
     if not isinstance(shifts, list):
-        checker.add("shifts", f"is {shifts!r}", "write a list")
+        validator.add_problem("shifts", f"is {shifts!r}", "write a list")
         shifts = []
-    mix = LoadSpec(
-        seed=checker.number(mapping, "", "seed", 0, 2**63, default=0, whole=True),
-        duration_s=checker.number(mapping, "", "duration_s", 0.01, LONGEST_LOAD_S),
-        obey_retry_after=checker.flag(mapping, "", "obey_retry_after", True),
+    spec = LoadSpec(
+        seed=validator.number(mapping, "", "seed", 0, 2**63, default=0, integer=True),
+        duration_s=validator.number(mapping, "", "duration_s", 0.01, MAX_DURATION_S),
+        obey_retry_after=validator.flag(mapping, "", "obey_retry_after", True),
         classes=classes,
         streams=streams,
         shifts=tuple(
-            _check_shift(checker, position, value, streams)
+            _parse_shift(validator, position, value, streams)
             for position, value in enumerate(shifts)
         ),
     )
-    raise_problems(source, checker.problems)
-    return mix
+    raise_if_problems(source, validator.problems)
+    return spec
 
 
 def read_load_spec(path):
-    """Read and check a load file.
+    """Read and validate a load file.
 
     Parameters
     ----------
@@ -333,7 +347,7 @@
     Raises
     ------
     InputError
-        If the file can't be read, isn't YAML, or isn't a load description.
+        If the file can't be read, isn't YAML, or isn't a load specification.
     """
     try:
         text = pathlib.Path(path).read_text()
@@ -346,75 +360,76 @@
     except yaml.YAMLError as error:
         place = " ".join(str(error).split())
         raise InputError(
-            f"load file {path} is not YAML ({place})", "mend that line"
+            f"load file {path} is not YAML ({place})", "fix that line"
         ) from error
     return parse_load_spec(document, str(path))
 
 
-def _rate_steps(mix, stream):
-    """Return the stream's (from, to, rate) steps in order of time."""
+def _rate_steps(spec, stream):
+    """Return the stream's (start_s, end_s, rate_per_s) intervals in order of time."""
     steps = []
     start_s = 0.0
     rate_per_s = stream.rate_per_s
-    for shift in sorted(mix.shifts, key=lambda item: item.at_s):
-        if stream.name not in shift.rates_per_s or shift.at_s >= mix.duration_s:
+    for shift in sorted(spec.shifts, key=lambda item: item.at_s):
+        if stream.name not in shift.rates_per_s or shift.at_s >= spec.duration_s:
             continue
         steps.append((start_s, shift.at_s, rate_per_s))
         start_s = shift.at_s
         rate_per_s = shift.rates_per_s[stream.name]
-    steps.append((start_s, mix.duration_s, rate_per_s))
+    steps.append((start_s, spec.duration_s, rate_per_s))
     return steps
 
 
-def _stream_arrivals(mix, stream):
-    # Each stream draws from a source of its own, so that a change to one stream
-    # leaves the arrivals of the others as they were and runs stay comparable.
-    source = random.Random(f"{mix.seed}/{stream.name}")
+def _draw_stream_arrivals(spec, stream):
+    """Yield a stream's arrivals, a Poisson process of the rate of each interval."""
+    # Each stream has its own random generator, so that a change to one stream leaves
+    # the arrivals of the others unchanged and runs stay comparable.
+    rng = random.Random(f"{spec.seed}/{stream.name}")
     tenants = list(stream.tenants)
     weights = list(stream.tenants.values())
-    for start_s, end_s, rate_per_s in _rate_steps(mix, stream):
+    for start_s, end_s, rate_per_s in _rate_steps(spec, stream):
         at_s = start_s
         while rate_per_s > 0.0:
-            at_s += source.expovariate(rate_per_s)
+            at_s += rng.expovariate(rate_per_s)
             if at_s >= end_s:
                 break
             yield Arrival(
                 number=0,
                 at_s=at_s,
                 stream=stream.name,
-                tenant=source.choices(tenants, weights)[0],
-                prompt_chars=source.randint(*stream.prompt_chars),
-                output_tokens=source.randint(*stream.output_tokens),
-                non_idempotent=source.random() < stream.non_idempotent_share,
+                tenant=rng.choices(tenants, weights)[0],
+                prompt_chars=rng.randint(*stream.prompt_chars),
+                output_tokens=rng.randint(*stream.output_tokens),
+                non_idempotent=rng.random() < stream.non_idempotent_share,
             )
 
 
-def plan_arrivals(mix):
-    """Draw the whole load's arrivals from its seed.
+def plan_arrivals(spec):
+    """Return all arrivals of a load, drawn with its seed.
 
     Parameters
     ----------
-    mix : LoadSpec
+    spec : LoadSpec
         The load.
 
     Returns
     -------
     list of Arrival
-        In order of time, numbered from 0; the same for the same mix.
+        In order of time, numbered from 0; equal for equal specifications.
     """
     arrivals = []
-    for stream in mix.streams.values():
-        arrivals.extend(_stream_arrivals(mix, stream))
+    for stream in spec.streams.values():
+        arrivals.extend(_draw_stream_arrivals(spec, stream))
     arrivals.sort(key=lambda item: (item.at_s, item.stream))
     return [item._replace(number=number) for number, item in enumerate(arrivals)]
 
 
-def make_prompt(mix, arrival):
-    """Return the text of one arrival's prompt, unlike that of any other.
+def make_prompt(spec, arrival):
+    """Return the prompt of one arrival, which differs from that of any other.
 
     Parameters
     ----------
-    mix : LoadSpec
+    spec : LoadSpec
         The load.
     arrival : Arrival
         One of its arrivals.
@@ -422,15 +437,19 @@
     Returns
     -------
     str
-        ``prompt_chars`` long, beginning with what its stream's prompts share.
+        ``prompt_chars`` long, starting with the prefix that its stream's prompts share.
     """
-    stream = mix.streams[arrival.stream]
-    mark = f"[{mix.seed}/{arrival.number}] "
-    shared_chars = min(stream.shared_prefix_chars, arrival.prompt_chars - len(mark))
-    shared = _fill(f"{stream.name} shared ", shared_chars)
-    rest_chars = arrival.prompt_chars - shared_chars - len(mark)
-    return shared + mark + _fill(f"{arrival.tenant} {arrival.number} ", rest_chars)
+    stream = spec.streams[arrival.stream]
+    marker = f"[{spec.seed}/{arrival.number}] "
+    shared_chars = min(stream.shared_prefix_chars, arrival.prompt_chars - len(marker))
+    shared = _repeat_to_length(f"{stream.name} shared ", shared_chars)
+    rest_chars = arrival.prompt_chars - shared_chars - len(marker)
+    return (
+        shared
+        + marker
+        + _repeat_to_length(f"{arrival.tenant} {arrival.number} ", rest_chars)
+    )
 
 
-def _fill(pattern, chars):
+def _repeat_to_length(pattern, chars):
     return (pattern * (chars // len(pattern) + 1))[:chars]
--- a/libs/cli/gypsumusher_cli/losses.py
+++ b/libs/cli/gypsumusher_cli/losses.py
@@ -1,4 +1,4 @@
-"""Requests that were not served, or late, by kind and cause, from the hosts' logs."""
+"""Requests that were not served, or late, by route and cause, from the hosts' logs."""
 
 from typing import NamedTuple
 
@@ -6,10 +6,11 @@
 
 __all__ = ["Loss", "find_losses", "format_losses"]
 
-# A reading that took so many times what was expected was late for the expectation.
-OFF_FACTOR = 1.5
-# Lines that say what was decided on a request, shown with its example.
-DECIDING = frozenset(
+# A prefill that took more than this multiple of its predicted time is attributed to the
+# prediction.
+MISPREDICTION_FACTOR = 1.5
+# Events that tell what was decided on a request; shown for the example of each cause.
+DECISION_EVENTS = frozenset(
     (
         "endpoint_overdue",
         "prompt_read",
@@ -29,38 +30,42 @@
     "503:connect": "refused: no endpoint took a connection",
     "503:no_connection": "refused: this host's connections were used up",
 }
+# Causes, as they stand in the table and in `Loss.cause`.
 CONNECTION_BROKEN = "connection to the endpoint broken"
 ENDPOINT_LOST = "endpoint lost"
 HOST_LOST = "host lost, or its log ends before"
 QUEUED = "still in an engine's queue"
-SILENT = "an endpoint's answer did not come"
-UNFINISHED = "the stream did not end in time"
-LEFT = "the caller left, or its connection broke"
-OWN_FAILURE = "the endpoint's own failure"
+NO_RESPONSE = "an endpoint's answer did not come"
+STREAM_UNFINISHED = "the stream did not end in time"
+CALLER_LEFT = "the caller left, or its connection broke"
+ENDPOINT_FAILURE = "the endpoint's own failure"
 LATE_AFTER_FAILURE = "late: an earlier send failed"
 LATE_TOO_LARGE = "late: the prompt is too large"
 LATE_QUEUE = "late: queue"
-LATE_EXPECTATION = "late: expectation"
-LATE_ELSEWHERE = "late: hand-over, or the engine that makes the tokens"
-LATE_PAUSE = "late: pause between events"
+# The prefill took much longer than predicted.
+LATE_MISPREDICTED = "late: expectation"
+# The prefill was in time, so the KV transfer or the decode engine took the time.
+LATE_TRANSFER_OR_DECODE = "late: hand-over, or the engine that makes the tokens"
+# The first event was in time, but a later gap between events exceeded its limit.
+LATE_TOKEN_GAP = "late: pause between events"
 LATE_SERVICE = "late: the service"
 
 
 class Loss(NamedTuple):
-    """Requests of one kind that were lost for one cause.
+    """Requests of one route that were lost or late for one cause.
 
     Attributes
     ----------
     route : str
-        The kind.
+        The route's name; ``-`` when the end of the request is not logged.
     cause : str
         The cause.
     count : int
-        How many.
+        Number of requests.
     example_id : str
-        One of them.
+        The id of one of them.
     lines : list of dict
-        What was decided on that one, by time.
+        Fields of the example's lines of DECISION_EVENTS, by time.
     """
 
     route: str
@@ -71,7 +76,7 @@
 
 
 def find_losses(lines):
-    """Return what was lost, the most frequent first.
+    """Return lost and late requests by route and cause, the most frequent first.
 
     Parameters
     ----------
@@ -82,25 +87,25 @@
     -------
     list of Loss
     """
-    stories, gone = _collect(lines)
+    lines_by_request, removed_endpoints = _group_lines(lines)
     found = {}
-    for request_id, story in stories.items():
-        story.sort(key=lambda fields: fields.get("time", ""))
-        end = _end_of(story)
-        cause = _cause_of(story, end, gone)
+    for request_id, request_lines in lines_by_request.items():
+        request_lines.sort(key=lambda fields: fields.get("time", ""))
+        end = _find_end(request_lines)
+        cause = _cause_of(request_lines, end, removed_endpoints)
         if cause is None:
             continue
         route = "-" if end is None else end.get("route", "-")
-        found.setdefault((route, cause), []).append((request_id, story))
+        found.setdefault((route, cause), []).append((request_id, request_lines))
     losses = []
-    for (route, cause), cases in found.items():
-        request_id, story = cases[0]
-        losses.append(Loss(route, cause, len(cases), request_id, story))
+    for (route, cause), examples in found.items():
+        request_id, request_lines = examples[0]
+        losses.append(Loss(route, cause, len(examples), request_id, request_lines))
     return sorted(losses, key=lambda loss: (-loss.count, loss.route, loss.cause))
 
 
 def format_losses(losses):
-    """Return the losses as a table, with an example of each below it."""
+    """Return the losses as a table, followed by the log lines of each example."""
     lines = [f"{'count':>6}  {'route':<14} {'example':<18} cause"]
     for loss in losses:
         lines.append(
@@ -118,66 +123,70 @@
     return "\n".join(lines)
 
 
-def _collect(lines):
-    """Return the deciding lines by request, and the endpoints that have gone."""
-    stories, gone = {}, set()
+def _group_lines(lines):
+    """Return the lines of DECISION_EVENTS by request id, and the removed endpoints."""
+    lines_by_request, removed_endpoints = {}, set()
     for line in lines:
         fields = parse_fields(line)
         event = fields.get("event")
         if event in ("endpoint_deleted", "endpoint_dropped"):
-            gone.add(fields.get("endpoint"))
-        elif event in DECIDING and "id" in fields:
-            stories.setdefault(fields["id"], []).append(fields)
-    return stories, gone
+            removed_endpoints.add(fields.get("endpoint"))
+        elif event in DECISION_EVENTS and "id" in fields:
+            lines_by_request.setdefault(fields["id"], []).append(fields)
+    return lines_by_request, removed_endpoints
 
 
-def _end_of(story):
-    for fields in story:
+def _find_end(request_lines):
+    for fields in request_lines:
         if fields["event"] == "request_ended":
             return fields
     return None
 
 
-def _cause_of(story, end, gone):
-    """Return why a request was lost or late; None when it was neither."""
+def _cause_of(request_lines, end, removed_endpoints):
+    """Return the cause of a request's loss or lateness; None when it was neither."""
     if end is None:
         return HOST_LOST
     if "route" not in end:
-        # No route takes it: it is owed nothing.
+        # No route matches the request, so no service objective applies to it.
         return None
     outcome = end.get("outcome", "")
     status, _, reason = outcome.partition(":")
     if status.startswith("2"):
-        return _cause_of_lateness(story, end)
+        return _lateness_cause(request_lines, end)
     if status.startswith("4"):
         return None
     if outcome in CAUSES_BY_OUTCOME:
         return CAUSES_BY_OUTCOME[outcome]
     if reason == "answered":
-        return OWN_FAILURE
+        return ENDPOINT_FAILURE
     if reason in ("timeout", "silent") or outcome == "caller_left":
-        return _cause_of_wait(story, end)
-    if reason == "broken" and end.get("endpoint") in gone:
+        return _timeout_cause(request_lines, end)
+    if reason == "broken" and end.get("endpoint") in removed_endpoints:
         return ENDPOINT_LOST
     if reason == "broken":
         return CONNECTION_BROKEN
-    return outcome or LEFT
+    return outcome or CALLER_LEFT
 
 
-def _cause_of_wait(story, end):
-    """Return what a request waited for that its caller or its time ended."""
+def _timeout_cause(request_lines, end):
+    """Return the cause for a request that timed out or whose caller left."""
     if "waited_at" in end:
         return QUEUED
-    is_overdue = any(fields["event"] == "endpoint_overdue" for fields in story)
+    is_overdue = any(fields["event"] == "endpoint_overdue" for fields in request_lines)
     if is_overdue or end.get("outcome", "").endswith("silent"):
-        return SILENT
+        return NO_RESPONSE
     if end.get("outcome") == "caller_left":
-        return LEFT
-    return UNFINISHED if "events" in end else SILENT
+        return CALLER_LEFT
+    return STREAM_UNFINISHED if "events" in end else NO_RESPONSE
 
 
-def _cause_of_lateness(story, end):
-    """Return why an answer was late; None when it was on time."""
+def _lateness_cause(request_lines, end):
+    """Return why a served request was late; None when it was on time.
+
+    A request is late when the first byte of its response exceeds the route's
+    objective, or a gap between events its limit.
+    """
     objective_ms = _number(end, "objective_ms")
     first_ms = _number(end, "first_ms")
     if objective_ms is None or first_ms is None:
@@ -185,32 +194,35 @@
     if first_ms <= objective_ms:
         pause_ms, limit_ms = _number(end, "pause_ms"), _number(end, "pause_limit_ms")
         is_late = pause_ms is not None and limit_ms is not None and pause_ms > limit_ms
-        return LATE_PAUSE if is_late else None
-    if any(fields["event"] == "send_failed" for fields in story):
+        return LATE_TOKEN_GAP if is_late else None
+    if any(fields["event"] == "send_failed" for fields in request_lines):
         return LATE_AFTER_FAILURE
-    readings = [fields for fields in story if fields["event"] == "prompt_read"]
-    if not readings:
-        return LATE_ELSEWHERE if "events" in end else LATE_SERVICE
-    return _cause_of_reading(readings[-1], objective_ms)
+    prefills = [fields for fields in request_lines if fields["event"] == "prompt_read"]
+    if not prefills:
+        return LATE_TRANSFER_OR_DECODE if "events" in end else LATE_SERVICE
+    return _prefill_lateness_cause(prefills[-1], objective_ms)
 
 
-def _cause_of_reading(reading, objective_ms):
-    """Return why a prompt that was read apart was late."""
-    took_ms = _number(reading, "took_ms") or 0.0
-    expected_ms = _number(reading, "expected_ms") or 0.0
-    if (_number(reading, "cost_ms") or 0.0) > objective_ms:
+def _prefill_lateness_cause(prefill, objective_ms):
+    """Return why a request was late whose prefill was logged.
+
+    Prediction and queue are named only when they account for over half the objective.
+    """
+    took_ms = _number(prefill, "took_ms") or 0.0
+    expected_ms = _number(prefill, "expected_ms") or 0.0
+    if (_number(prefill, "cost_ms") or 0.0) > objective_ms:
         return LATE_TOO_LARGE
-    if took_ms > OFF_FACTOR * expected_ms and took_ms > objective_ms / 2.0:
-        return LATE_EXPECTATION
-    if (_number(reading, "queue_ms") or 0.0) > objective_ms / 2.0:
+    if took_ms > MISPREDICTION_FACTOR * expected_ms and took_ms > objective_ms / 2.0:
+        return LATE_MISPREDICTED
+    if (_number(prefill, "queue_ms") or 0.0) > objective_ms / 2.0:
         return LATE_QUEUE
-    if reading.get("lane") == "late":
+    if prefill.get("lane") == "late":
         return LATE_QUEUE
-    return LATE_ELSEWHERE
+    return LATE_TRANSFER_OR_DECODE
 
 
 def _number(fields, key):
-    """Return a field as a number; None when it isn't one."""
+    """Return a field as a number; None when it is absent or not a number."""
     try:
         return float(fields[key])
     except (KeyError, ValueError):
--- a/libs/cli/gypsumusher_cli/losses_commands.py
+++ b/libs/cli/gypsumusher_cli/losses_commands.py
@@ -1,4 +1,4 @@
-"""The command that tells which requests were lost or late, and why."""
+"""The losses command: counts lost and late requests by route and cause."""
 
 import json
 
@@ -11,18 +11,22 @@
 
 
 class LossesCommand(ToolCommand):
-    """Counts lost and late requests by kind and cause."""
+    """Counts lost and late requests by route and cause."""
 
     name = "losses"
-    description = "Tell from the hosts' logs which requests were lost or late, and why."
-    arguments = [argument("files", "Logs of the hosts, in any order.", multiple=True)]
+    description = "Count lost and late requests by cause, from the hosts' logs."
+    arguments = [
+        argument("files", "Log files of the hosts, in any order.", multiple=True)
+    ]
     options = [JSON_OPTION]
 
-    async def operate(self):
-        """Read the files and print the table."""
+    async def run_command(self):
+        """Read the log files and print the table."""
         losses = find_losses(read_lines(self.argument("files")))
         if self.option("json"):
             for loss in losses:
-                self.say(json.dumps(loss._asdict()))
+                self.print_line(json.dumps(loss._asdict()))
             return
-        self.say(format_losses(losses) if losses else "nothing was lost or late")
+        self.print_line(
+            format_losses(losses) if losses else "no request was lost or late"
+        )
--- a/libs/cli/gypsumusher_cli/response_checker.py
+++ b/libs/cli/gypsumusher_cli/response_checker.py
@@ -1,4 +1,4 @@
-"""Checks one streamed answer whole: its event ids, its text and its end marker."""
+"""Checks one streamed response: its event ids, its text and its end marker."""
 
 import json
 from typing import NamedTuple
@@ -6,18 +6,18 @@
 END_MARKER = b"[DONE]"
 
 
-class AnswerFault(NamedTuple):
-    """What is wrong with an answer, in the words of the report."""
+class ResponseFault(NamedTuple):
+    """A fault of a response; ``kind`` is doubled, incomplete or crossed."""
 
     kind: str
     detail: str
 
 
-class AnswerChecker:
-    """The state of one answer while its events arrive, over all its connections.
+class ResponseChecker:
+    """Reads the events of one streamed response, across all its connections.
 
-    Ids must run 1, 2, 3 and so on: a lower one means that a part came twice, a higher
-    one that a part is missing, and either would be a wrong letter in print.
+    Event ids have to run 1, 2, 3 and so on. A lower id means that an event arrived
+    twice, a higher one that an event is missing; either makes the text wrong.
     """
 
     def __init__(self):
@@ -25,11 +25,11 @@
         self.complete = False
         self.fault = None
         self.error = None
-        self.answer_id = ""
+        self.completion_id = ""
         self.text_parts = []
         self.first_token_s = None
         self.last_token_s = None
-        self.gaps_s = []
+        self.inter_token_s = []
         self._event_id = None
         self._data = []
 
@@ -38,20 +38,20 @@
         """The text received so far."""
         return "".join(self.text_parts)
 
-    def new_connection(self):
-        """Forget the part of an event that the broken connection had begun."""
+    def on_reconnect(self):
+        """Discard the incomplete event of a broken connection."""
         self._event_id = None
         self._data = []
 
     def on_line(self, now_s, line):
-        """Take one line of the event stream.
+        """Process one line of the event stream.
 
         Parameters
         ----------
         now_s : float
-            When it arrived.
+            Time of its arrival, on the loop's clock.
         line : bytes
-            The line, with or without its line end.
+            The line, with or without line end.
         """
         line = line.rstrip(b"\r\n")
         if not line:
@@ -71,43 +71,48 @@
         if not data:
             return
         if self.complete:
-            self._note("doubled", "an event came after the end marker")
+            self._record_fault("doubled", "an event arrived after the end marker")
             return
         if event_id is None:
-            self._on_unnumbered(data)
+            self._on_event_without_id(data)
             return
         if event_id <= self.last_event_id:
-            self._note("doubled", f"event {event_id} came twice")
+            self._record_fault("doubled", f"event {event_id} arrived twice")
             return
         if event_id != self.last_event_id + 1:
-            self._note("incomplete", f"event {self.last_event_id + 1} is missing")
+            self._record_fault(
+                "incomplete", f"event {self.last_event_id + 1} is missing"
+            )
         self.last_event_id = event_id
         if data == END_MARKER:
             self.complete = True
             return
         self._on_content(now_s, data)
 
-    def _on_unnumbered(self, data):
-        # Only the entry host itself sends events without an id: its final word on an
-        # answer that it can't go on with.
+    def _on_event_without_id(self, data):
+        # Only the entry host itself sends events without an id: the error with which
+        # it ends a response that it can't continue.
         if data == END_MARKER:
-            self._note("incomplete", "the end marker has no event id")
+            self._record_fault("incomplete", "the end marker has no event id")
             return
         error = _parse_object(data).get("error")
         if isinstance(error, dict):
             self.error = error
             return
-        self._note("incomplete", "an event has no id")
+        self._record_fault("incomplete", "an event has no id")
 
     def _on_content(self, now_s, data):
         event = _parse_object(data)
         if isinstance(event.get("error"), dict):
             self.error = event["error"]
             return
-        answer_id = event.get("id", "")
-        if self.answer_id and answer_id != self.answer_id:
-            self._note("crossed", f"event of {answer_id} in {self.answer_id}")
-        self.answer_id = answer_id
+        completion_id = event.get("id", "")
+        if self.completion_id and completion_id != self.completion_id:
+            self._record_fault(
+                "crossed",
+                f"event of {completion_id} in the response {self.completion_id}",
+            )
+        self.completion_id = completion_id
         text = _event_text(event)
         if not text:
             return
@@ -115,35 +120,35 @@
         if self.first_token_s is None:
             self.first_token_s = now_s
         else:
-            self.gaps_s.append(now_s - self.last_token_s)
+            self.inter_token_s.append(now_s - self.last_token_s)
         self.last_token_s = now_s
 
-    def _note(self, kind, detail):
+    def _record_fault(self, kind, detail):
         if self.fault is None:
-            self.fault = AnswerFault(kind, detail)
+            self.fault = ResponseFault(kind, detail)
 
-    def verdict(self, expected_text=None):
-        """Return what is wrong with the answer as a whole.
+    def find_fault(self, expected_text=None):
+        """Return the first fault of the response, after its last event.
 
         Parameters
         ----------
         expected_text : str, optional
-            The one right text, where it is known.
+            The only correct text, where it is known.
 
         Returns
         -------
-        AnswerFault or None
-            None when the answer is whole.
+        ResponseFault or None
+            None when the response is complete and correct.
         """
         if self.fault is not None:
             return self.fault
         if not self.complete:
-            return AnswerFault("incomplete", "the end marker is missing")
+            return ResponseFault("incomplete", "the end marker is missing")
         if expected_text is None or self.text == expected_text:
             return None
         if expected_text.startswith(self.text):
-            return AnswerFault("incomplete", "the text is cut short")
-        return AnswerFault("crossed", "the text is not this request's")
+            return ResponseFault("incomplete", "the text is truncated")
+        return ResponseFault("crossed", "the text is that of another request")
 
 
 def _parse_object(data):
@@ -155,7 +160,7 @@
 
 
 def _event_text(event):
-    """Return the text of a completion's or a chat completion's event."""
+    """Return the text of an event of a completion or chat completion."""
     choices = event.get("choices")
     if not isinstance(choices, list) or not choices:
         return ""
--- a/libs/cli/gypsumusher_cli/retries.py
+++ b/libs/cli/gypsumusher_cli/retries.py
@@ -1,4 +1,9 @@
-"""Retries of all hosts against the operator's bound, from the hosts' logs."""
+"""Retries of all hosts, compared with the permitted number, from the hosts' logs.
+
+Within each window of time the hosts together may send a service at most
+``ratio * requests + slack`` repeats; each host divides the slack by the number of hosts
+that it knows.
+"""
 
 from datetime import datetime
 from typing import NamedTuple
@@ -9,22 +14,23 @@
 
 
 class HostRetries(NamedTuple):
-    """What one host sent to one service in the window.
+    """Requests and retries of one host to one service within the window.
 
     Attributes
     ----------
     host : str
-        The host.
+        The host's name.
     requests : int
-        Requests that it served.
+        Requests that ended on the host.
     repeats : int
-        Their sends beyond the first.
+        Sends of these requests beyond the first one of each.
     retries : int
-        Retries that it took from its share.
+        Retries that the host's retry budget allowed.
     withheld : int
-        Retries that its share didn't allow.
+        Retries that the host's retry budget didn't allow.
     divided_by : str
-        Numbers of hosts by which it divided the slack, least and most.
+        Smallest and largest number of hosts by which the host divided the slack, as
+        ``MIN-MAX``; ``-`` when no retry was decided on.
     """
 
     host: str
@@ -36,20 +42,20 @@
 
 
 class ServiceRetries(NamedTuple):
-    """The window in which a service got the largest part of its bound.
+    """The window in which a service used the largest fraction of its allowed repeats.
 
     Attributes
     ----------
     service : str
-        The service.
+        The service's name.
     from_s : float
-        Begin of the window, in Unix seconds.
+        Start of the window, in Unix seconds.
     requests, repeats, retries : int
-        Those of all hosts.
+        Sums over all hosts; see `HostRetries`.
     allowed : float
-        Repeats that the bound allows.
+        Repeats that are allowed for the requests of the window.
     hosts : list of HostRetries
-        Each host, by name.
+        Figures of each host, by name.
     """
 
     service: str
@@ -61,8 +67,8 @@
     hosts: list[HostRetries]
 
 
-class _Line(NamedTuple):
-    """What one line says of a service."""
+class _LogRecord(NamedTuple):
+    """The counts that one log line adds to a service."""
 
     at_s: float
     host: str
@@ -74,35 +80,36 @@
 
 
 def find_retries(lines, ratio, slack, window_s):
-    """Return the worst window of each service.
+    """Return the window of each service that used most of its allowed repeats.
 
     Parameters
     ----------
     lines : iterable of str
         Log lines of all hosts, in any order.
     ratio, slack : float
-        Repeats allowed for each request of a window, and on top.
+        Repeats allowed per request of a window, and per window in addition.
     window_s : float
-        The window, in seconds.
+        Length of the window, in seconds.
 
     Returns
     -------
     list of ServiceRetries
+        One per service, by name.
     """
     by_service = {}
     for line in lines:
         fields = parse_fields(line)
-        read = _read(fields)
-        if read is not None:
-            by_service.setdefault(fields["service"], []).append(read)
+        record = _parse_record(fields)
+        if record is not None:
+            by_service.setdefault(fields["service"], []).append(record)
     return [
-        _worst_window(service, sorted(by_service[service]), ratio, slack, window_s)
+        _find_worst_window(service, sorted(by_service[service]), ratio, slack, window_s)
         for service in sorted(by_service)
     ]
 
 
 def format_retries(found):
-    """Return the windows as a table, with the hosts below each."""
+    """Return the windows as text: for each service its sums, then a line per host."""
     header = f"{'requests':>9} {'repeats':>8} {'allowed':>8} {'retries':>8}"
     lines = []
     for item in found:
@@ -124,48 +131,50 @@
     return "\n".join(lines)
 
 
-def _read(fields):
-    """Return what a line says of a service; None when it says nothing."""
+def _parse_record(fields):
+    """Return the counts of a log line; None when it tells nothing of a service."""
     event = fields.get("event")
     if "service" not in fields or "time" not in fields:
         return None
     at_s = datetime.fromisoformat(fields["time"]).timestamp()
     host = fields.get("host", "-")
     if event == "request_ended":
-        return _Line(at_s, host, requests=1, repeats=int(fields.get("repeats", 0)))
+        return _LogRecord(at_s, host, requests=1, repeats=int(fields.get("repeats", 0)))
     if event == "retry_taken":
-        return _Line(at_s, host, retries=1, divided_by=int(fields["hosts"]))
+        return _LogRecord(at_s, host, retries=1, divided_by=int(fields["hosts"]))
     if event == "retry_withheld":
-        return _Line(at_s, host, withheld=1, divided_by=int(fields["hosts"]))
+        return _LogRecord(at_s, host, withheld=1, divided_by=int(fields["hosts"]))
     return None
 
 
-def _worst_window(service, lines, ratio, slack, window_s):
-    """Return the window with the largest part of the allowed repeats."""
-    worst, worst_used = (0, len(lines)), -1.0
+def _find_worst_window(service, records, ratio, slack, window_s):
+    """Return the window that used the largest fraction of the allowed repeats."""
+    worst, worst_fraction = (0, len(records)), -1.0
     requests = repeats = end = 0
-    for begin, first in enumerate(lines):
-        while end < len(lines) and lines[end].at_s < first.at_s + window_s:
-            requests += lines[end].requests
-            repeats += lines[end].repeats
+    for begin, first in enumerate(records):
+        while end < len(records) and records[end].at_s < first.at_s + window_s:
+            requests += records[end].requests
+            repeats += records[end].repeats
             end += 1
-        # A bound of none is used up by any repeat.
-        used = repeats / max(1e-9, ratio * requests + slack)
-        # A window holds all lines of its first moment.
-        is_begin = begin == 0 or lines[begin - 1].at_s < first.at_s
-        if is_begin and used > worst_used:
-            worst, worst_used = (begin, end), used
+        # The minimum avoids a division by 0: where no repeat is allowed, any repeat
+        # exceeds the limit.
+        fraction = repeats / max(1e-9, ratio * requests + slack)
+        # A window has to contain all records of its first instant.
+        is_first_of_instant = begin == 0 or records[begin - 1].at_s < first.at_s
+        if is_first_of_instant and fraction > worst_fraction:
+            worst, worst_fraction = (begin, end), fraction
         requests -= first.requests
         repeats -= first.repeats
-    chosen = lines[slice(*worst)]
-    names = sorted({line.host for line in chosen})
+    in_window = records[slice(*worst)]
+    names = sorted({record.host for record in in_window})
     hosts = [
-        _of_host(name, [line for line in chosen if line.host == name]) for name in names
+        _sum_host(name, [record for record in in_window if record.host == name])
+        for name in names
     ]
     requests = sum(host.requests for host in hosts)
     return ServiceRetries(
         service,
-        chosen[0].at_s,
+        in_window[0].at_s,
         requests,
         sum(host.repeats for host in hosts),
         sum(host.retries for host in hosts),
@@ -174,15 +183,17 @@
     )
 
 
-def _of_host(name, lines):
-    """Return the sums of one host."""
-    divisors = [line.divided_by for line in lines if line.divided_by is not None]
+def _sum_host(name, records):
+    """Return the sums over the records of one host."""
+    divisors = [
+        record.divided_by for record in records if record.divided_by is not None
+    ]
     divided_by = f"{min(divisors)}-{max(divisors)}" if divisors else "-"
     return HostRetries(
         name,
-        sum(line.requests for line in lines),
-        sum(line.repeats for line in lines),
-        sum(line.retries for line in lines),
-        sum(line.withheld for line in lines),
+        sum(record.requests for record in records),
+        sum(record.repeats for record in records),
+        sum(record.retries for record in records),
+        sum(record.withheld for record in records),
         divided_by,
     )
--- a/libs/cli/gypsumusher_cli/retries_commands.py
+++ b/libs/cli/gypsumusher_cli/retries_commands.py
@@ -1,4 +1,4 @@
-"""The command that holds the retries of all hosts against the operator's bound."""
+"""The retries command: compares the retries of all hosts with the permitted number."""
 
 import json
 
@@ -12,35 +12,47 @@
 
 
 class RetriesCommand(ToolCommand):
-    """Finds the window in which a service came nearest to its bound."""
+    """Finds the window in which a service came closest to its retry limit."""
 
     name = "retries"
-    description = "Hold the hosts' retries against the operator's bound, from logs."
-    arguments = [argument("files", "Logs of the hosts, in any order.", multiple=True)]
+    description = (
+        "Compare the hosts' retries with the permitted number, from their logs."
+    )
+    arguments = [
+        argument("files", "Log files of the hosts, in any order.", multiple=True)
+    ]
     options = [
+        option("ratio", None, "Repeats allowed per request.", flag=False, default=0.2),
         option(
-            "ratio", None, "Repeats allowed for each request.", flag=False, default=0.2
+            "slack",
+            None,
+            "Repeats allowed per window in addition.",
+            flag=False,
+            default=50,
         ),
-        option("slack", None, "Repeats allowed on top.", flag=False, default=50),
         option(
             "window", None, "Length of the window in seconds.", flag=False, default=10
         ),
         JSON_OPTION,
     ]
 
-    async def operate(self):
-        """Read the files and print the worst window of each service."""
+    async def run_command(self):
+        """Read the log files and print the worst window of each service."""
         bounds = [self._number(name) for name in ("ratio", "slack", "window")]
         found = find_retries(read_lines(self.argument("files")), *bounds)
         if not self.option("json"):
-            self.say(format_retries(found) if found else "no request was served")
+            self.print_line(
+                format_retries(found)
+                if found
+                else "no line tells of a service's requests or retries"
+            )
             return
         for item in found:
             hosts = [host._asdict() for host in item.hosts]
-            self.say(json.dumps({**item._asdict(), "hosts": hosts}))
+            self.print_line(json.dumps({**item._asdict(), "hosts": hosts}))
 
     def _number(self, name):
-        """Return an option as a number of at least 0."""
+        """Return an option's value as a finite number of at least 0."""
         value = self.option(name)
         try:
             number = float(value)
--- a/libs/cli/gypsumusher_cli/trace.py
+++ b/libs/cli/gypsumusher_cli/trace.py
@@ -1,15 +1,16 @@
-"""One request's story, joined from the logs of several hosts."""
+"""The trace of one request, merged from the logs of several hosts."""
 
 from typing import NamedTuple
 
 from gypsumusher_process import parse_fields
 
-__all__ = ["Trace", "format_trace", "join_trace"]
+__all__ = ["Trace", "format_trace", "build_trace"]
 
-# Lines of other events that are shown around the request's own: what was believed of
-# its endpoints, and which dependencies of its host were lost, shortly before its end.
-AROUND_S = 3.0
-AROUND_EVENTS = frozenset(
+# A trace also shows lines of CONTEXT_EVENTS that the request's hosts logged within this
+# time before the request's last line: a change of its endpoints, of the configuration
+# or of the host's dependencies may explain the outcome.
+CONTEXT_WINDOW_S = 3.0
+CONTEXT_EVENTS = frozenset(
     (
         "configuration_adopted",
         "dependency_lost",
@@ -21,38 +22,39 @@
         "stop_began",
     )
 )
-# What an outcome's reason means, for whoever reads it in the night.
+# Explanations of the reasons in the log event ``request_ended``.
 CAUSES = {
-    "answered": "an endpoint answered, and its answer was passed on",
-    "streamed": "the stream was passed on whole",
+    "answered": "an endpoint responded, and its response was passed on",
+    "streamed": "the complete stream was passed on",
     "broken": "an endpoint broke its answer off after the request was sent",
-    "caller_left": "the caller closed its connection before the end",
-    "connect": "no endpoint took a connection",
-    "full": "the endpoints had no room, and nothing ran",
-    "garbled": "an endpoint sent bytes that are no answer to this request",
-    "left": "the endpoint began to leave before anything was sent",
-    "no_configuration": "the host had just started and knew no configuration",
+    "caller_left": "the caller closed its connection before the response was complete",
+    "connect": "no endpoint accepted a connection",
+    "full": "the endpoints were at capacity, and nothing ran",
+    "garbled": "an endpoint sent an invalid response",
+    "left": "the endpoint began to shut down before anything was sent",
+    "no_configuration": "the host had just started and had no configuration",
     "no_endpoint": "no endpoint of the service was known",
-    "no_route": "no route of the configuration in force takes the path",
-    "overloaded": "no engine would have begun before the caller gives up",
-    "silent": "an endpoint said nothing for far longer than its work takes",
-    "timeout": "the time of the route or of the caller was up",
+    "no_route": "no route of the configuration in force matches the path",
+    "overloaded": "no engine would have started the request before its deadline",
+    "silent": "an endpoint sent nothing for far longer than the work should take",
+    "timeout": "the time limit of the route or of the caller expired",
 }
 
 
 class Trace(NamedTuple):
-    """The lines that tell of one request.
+    """The log lines of one request, and its outcome.
 
     Attributes
     ----------
     request_id : str
-        The request.
+        The request's id.
     lines : list of dict
-        Its own lines and those around them, by time.
+        Fields of the request's lines and of the context lines, by time.
     outcome : str or None
-        How it ended; None when no line says so.
+        The outcome that was logged at the request's end, e.g. ``502:broken``; None
+        when no line tells the end.
     cause : str
-        That in words.
+        The outcome explained in words.
     """
 
     request_id: str
@@ -61,42 +63,49 @@
     cause: str
 
 
-def join_trace(request_id, lines):
-    """Return the story of one request.
+def build_trace(request_id, lines):
+    """Return the trace of one request.
 
     Parameters
     ----------
     request_id : str
-        The request.
+        The request's id.
     lines : iterable of str
         Log lines of all hosts, in any order.
+
+    Returns
+    -------
+    Trace
+        Without lines when no line has this id.
     """
     parsed = [parse_fields(line) for line in lines]
     own = [fields for fields in parsed if fields.get("id") == request_id]
     if not own:
-        return Trace(request_id, [], None, "no line bears this id")
+        return Trace(request_id, [], None, "no log line has this id")
     endpoints = {fields["endpoint"] for fields in own if "endpoint" in fields}
     hosts = {fields.get("host") for fields in own}
     last = max(fields.get("time", "") for fields in own)
-    around = []
+    context = []
     for fields in parsed:
-        if fields.get("event") not in AROUND_EVENTS or "time" not in fields:
+        if fields.get("event") not in CONTEXT_EVENTS or "time" not in fields:
             continue
-        if fields.get("host") not in hosts or not _is_near(fields["time"], last):
+        if fields.get("host") not in hosts or not _is_shortly_before(
+            fields["time"], last
+        ):
             continue
         if "endpoint" in fields and fields["endpoint"] not in endpoints:
             continue
-        around.append(fields)
-    story = sorted(own + around, key=lambda fields: fields.get("time", ""))
+        context.append(fields)
+    shown = sorted(own + context, key=lambda fields: fields.get("time", ""))
     outcome = None
-    for fields in story:
+    for fields in shown:
         if fields.get("event") == "request_ended" and fields.get("id") == request_id:
             outcome = fields.get("outcome")
-    return Trace(request_id, story, outcome, _cause_of(outcome))
+    return Trace(request_id, shown, outcome, _cause_of(outcome))
 
 
 def format_trace(trace):
-    """Return a story as text, a line for each event, its own lines marked."""
+    """Return a trace as text: a line per event, the request's own marked with ``*``."""
     lines = []
     for fields in trace.lines:
         mark = "*" if fields.get("id") == trace.request_id else " "
@@ -114,28 +123,32 @@
 
 def _cause_of(outcome):
     if outcome is None:
-        return "its end is not in these files: the host may have ended before it"
+        return "the request's end is not logged: the host may have ended before it"
     reason = outcome.rpartition(":")[2]
     if reason.startswith("status_"):
-        return "an endpoint answered with a failure of its own"
+        return "an endpoint responded with an error status"
     return CAUSES.get(reason, "see the lines above")
 
 
-def _is_near(time, last):
-    """Say whether a line lies shortly before another one, or right behind it.
+def _is_shortly_before(time, last):
+    """Return whether ``time`` lies up to CONTEXT_WINDOW_S before ``last``.
 
-    Times are compared by their seconds within an hour, which is all that is needed
-    for lines a few seconds apart.
+    Up to 0.5 s after ``last`` also counts, for lines that were logged just after the
+    request's end. Times are compared by their seconds within the hour (modulo 3600),
+    which suffices for lines a few seconds apart.
     """
     return (
         0.0
         <= (_second_of_hour(last) - _second_of_hour(time) + 0.5) % 3600.0
-        <= (AROUND_S + 0.5)
+        <= (CONTEXT_WINDOW_S + 0.5)
     )
 
 
 def _second_of_hour(time):
-    """Return the seconds since the full hour of ``YYYY-MM-DDTHH:MM:SS.ffffffZ``."""
+    """Return the seconds since the full hour of ``YYYY-MM-DDTHH:MM:SS.ffffffZ``.
+
+    A malformed time gives -1800 s, half an hour from the full hour.
+    """
     try:
         return int(time[14:16]) * 60.0 + float(time[17:26].rstrip("Z"))
     except ValueError:
--- a/libs/cli/gypsumusher_cli/trace_commands.py
+++ b/libs/cli/gypsumusher_cli/trace_commands.py
@@ -1,4 +1,4 @@
-"""The command that tells a request's story from the hosts' logs."""
+"""The trace command: shows one request's log lines of all hosts in order of time."""
 
 import json
 
@@ -6,32 +6,34 @@
 
 from gypsumusher_cli.command_base import JSON_OPTION, ToolCommand, read_lines
 from gypsumusher_cli.errors import CommandError
-from gypsumusher_cli.trace import format_trace, join_trace
+from gypsumusher_cli.trace import build_trace, format_trace
 
 __all__ = ["TraceCommand"]
 
 
 class TraceCommand(ToolCommand):
-    """Joins the log lines of one request and names its cause."""
+    """Merges the log lines of one request and explains its outcome."""
 
     name = "trace"
-    description = "Tell a request's story from the hosts' logs, with its cause."
+    description = (
+        "Show a request's events from the hosts' logs, and the cause of its outcome."
+    )
     arguments = [
-        argument("request-id", "As the caller or the logs give it."),
-        argument("files", "Logs of the hosts, in any order.", multiple=True),
+        argument("request-id", "The request id, from the caller or from a log."),
+        argument("files", "Log files of the hosts, in any order.", multiple=True),
     ]
     options = [JSON_OPTION]
 
-    async def operate(self):
-        """Read the files and print the story."""
+    async def run_command(self):
+        """Read the log files and print the trace."""
         lines = read_lines(self.argument("files"))
-        trace = join_trace(self.argument("request-id"), lines)
+        trace = build_trace(self.argument("request-id"), lines)
         if not trace.lines:
             raise CommandError(
-                f"no line bears the id {trace.request_id}",
-                "add the logs of the other hosts, or an earlier piece of them",
+                f"no log line has the id {trace.request_id}",
+                "add the logs of the other hosts, or earlier log files",
             )
         if self.option("json"):
-            self.say(json.dumps(trace._asdict(), indent=2))
+            self.print_line(json.dumps(trace._asdict(), indent=2))
             return
-        self.say(format_trace(trace))
+        self.print_line(format_trace(trace))
--- a/libs/cli/tests/test_cmdline.py
+++ b/libs/cli/tests/test_cmdline.py
@@ -47,15 +47,15 @@
 
 
 class FakeOperators:
-    """The operators' API of one host, kept by a loop in a thread of its own."""
+    """The operators' API of one host, run by an event loop in its own thread."""
 
     def __init__(self):
         self.number = 3
         self.document = json.loads(json.dumps(DOCUMENT))
         self.status = json.loads(json.dumps(STATUS))
         self.patches = []
-        self.lose_answers = 0
-        self.outdate = 0
+        self.responses_to_lose = 0
+        self.conflicts_to_cause = 0
         self.problems = []
         self.address = ""
         self._loop = asyncio.new_event_loop()
@@ -102,8 +102,8 @@
 
     async def _patch(self, request):
         body = await request.json()
-        if self.outdate:
-            self.outdate -= 1
+        if self.conflicts_to_cause:
+            self.conflicts_to_cause -= 1
             self.number += 1
         known = [patch["patch_id"] for patch in self.patches]
         if body["patch_id"] not in known:
@@ -116,8 +116,8 @@
             self.number += 1
             self.patches.append({**body, "number": self.number, "changed": ["hosts"]})
             self._apply(self.document, body["patch"])
-        if self.lose_answers:
-            self.lose_answers -= 1
+        if self.responses_to_lose:
+            self.responses_to_lose -= 1
             request.transport.abort()
         return web.json_response({"number": self.number, "changed": ["hosts"]})
 
@@ -131,7 +131,7 @@
     async def _status(self, request):
         shown = json.loads(json.dumps(self.status))
         shown["config_number"] = self.number
-        # Work ends while somebody looks, as it does in a real drain.
+        # Each call ends some of the work, as it ends with time in a real drain.
         for endpoint in self.status["endpoints"]:
             endpoint["running"] = max(0, endpoint["running"] - 1)
             endpoint["in_flight"] = 0
@@ -172,12 +172,12 @@
     assert capsys.readouterr().out == "# number: 3\ndrain:\n- counter-1\n"
 
 
-def test_config_show_of_a_section_that_is_not_there_names_those_that_are(fake, capsys):
+def test_config_show_of_an_unknown_section_lists_the_known_ones(fake, capsys):
     assert run(["config", "show", "--section", "services.x"]) == 2
     assert "use one of ['counter-api']" in capsys.readouterr().err
 
 
-def test_config_patch_says_what_it_changed(fake, capsys, tmp_path):
+def test_config_patch_prints_what_it_changed(fake, capsys, tmp_path):
     path = write(tmp_path, "hosts: {drain: [host-b]}")
     assert run(["config", "patch", path, "--base", "3", "--note", "why"]) == 0
     assert "accepted as number 4; changed: hosts" in capsys.readouterr().out
@@ -185,7 +185,7 @@
     assert "why" in capsys.readouterr().out
 
 
-def test_an_outdated_patch_is_refused_with_what_changed(fake, capsys, tmp_path):
+def test_an_outdated_patch_is_refused_with_the_changes_since(fake, capsys, tmp_path):
     path = write(tmp_path, "hosts: {drain: [host-b]}")
     assert run(["config", "patch", path, "--base", "2"]) == 2
     error = capsys.readouterr().err
@@ -194,22 +194,24 @@
     assert not fake.patches
 
 
-def test_a_patch_whose_answer_is_lost_is_settled_by_its_id(fake, capsys, tmp_path):
-    """The answer to an accepted patch is lost on its way to the operator.
+def test_a_patch_whose_response_is_lost_is_sent_again_with_its_id(
+    fake, capsys, tmp_path
+):
+    """The response to an accepted patch is lost on its way to the operator.
 
-    The tool doesn't know whether the patch took effect. It sends the same patch id
-    again, and the system recognises it: the patch stands once and the operator sees
-    that it was accepted. A new id would be refused as outdated, which is untrue.
+    The tool doesn't know whether the patch took effect and sends the same patch id
+    again, which the host recognises: the patch is applied once and reported as
+    accepted. With a new id it would wrongly be refused as outdated.
     """
-    fake.lose_answers = 1
+    fake.responses_to_lose = 1
     path = write(tmp_path, "hosts: {drain: [host-b]}")
     assert run(["config", "patch", path, "--base", "3"]) == 0
     assert len(fake.patches) == 1
     assert "accepted as number 4" in capsys.readouterr().out
 
 
-def test_a_patch_whose_answers_are_all_lost_names_its_id(fake, capsys, tmp_path):
-    fake.lose_answers = 9
+def test_the_error_for_a_patch_of_unknown_outcome_has_its_id(fake, capsys, tmp_path):
+    fake.responses_to_lose = 9
     path = write(tmp_path, "hosts: {drain: [host-b]}")
     assert run(["config", "patch", path, "--base", "3"]) == 1
     assert f"--patch-id {fake.patches[0]['patch_id']}" in capsys.readouterr().err
@@ -232,7 +234,7 @@
     assert json.loads(capsys.readouterr().out)["host"] == "host-a"
 
 
-def test_status_adds_the_stewards_of_all_asked_hosts(fake, monkeypatch, capsys):
+def test_status_lists_the_stewards_of_all_known_hosts(fake, monkeypatch, capsys):
     other = FakeOperators()
     other.start()
     steward = {"deployment": "usher-llm", "holder": "host-b", "term": 9}
@@ -246,13 +248,13 @@
         assert words in output
 
 
-def test_status_tells_a_drained_host(fake, capsys):
+def test_status_marks_a_drained_host(fake, capsys):
     fake.document["hosts"]["drain"] = ["host-a"]
     assert run(["status"]) == 0
     assert "live, drained" in capsys.readouterr().out
 
 
-def test_draining_an_endpoint_is_shown_until_it_is_idle(fake, capsys):
+def test_draining_an_endpoint_waits_until_it_is_idle(fake, capsys):
     assert run(["drain", "endpoint", "engine-1"]) == 0
     output = capsys.readouterr().out
     assert "engine-1 is draining from number 4 on" in output
@@ -261,8 +263,8 @@
     assert fake.document["deployments"]["letter-models"]["drain"] == ["engine-1"]
 
 
-def test_a_drain_that_loses_a_race_reads_again(fake, capsys):
-    fake.outdate = 2
+def test_a_drain_that_conflicts_reads_the_configuration_again(fake, capsys):
+    fake.conflicts_to_cause = 2
     assert run(["drain", "host", "host-a", "--no-wait"]) == 0
     assert fake.document["hosts"]["drain"] == ["host-a"]
     assert run(["drain", "host", "host-a", "--undo"]) == 0
@@ -270,27 +272,27 @@
     assert "takes new work again" in capsys.readouterr().out
 
 
-def test_draining_a_host_that_is_not_asked_itself_says_so(fake, capsys):
+def test_draining_a_host_without_its_own_status_says_so(fake, capsys):
     fake.status["hosts"].append({"name": "host-b", "zone": "z", "state": "live"})
     assert run(["drain", "host", "host-b"]) == 0
     assert "its own requests are not seen from here" in capsys.readouterr().out
 
 
-def test_draining_what_is_not_there_names_what_is(fake, capsys):
+def test_draining_an_unknown_name_lists_the_known_ones(fake, capsys):
     assert run(["drain", "endpoint", "engine-9"]) == 2
     assert "use one of ['engine-1']" in capsys.readouterr().err
     assert run(["drain", "host", "host-z"]) == 2
     assert "use one of ['host-a']" in capsys.readouterr().err
 
 
-def test_explain_tells_the_events_in_order(fake, capsys):
+def test_explain_prints_the_events_in_order(fake, capsys):
     assert run(["explain", "r1"]) == 0
     assert "+0.250 s placed endpoint=engine-1" in capsys.readouterr().out
     assert run(["explain", "r2"]) == 1
     assert "Gypsumusher-Host" in capsys.readouterr().err
 
 
-def test_key_says_what_its_outcome_means(fake, capsys):
+def test_key_explains_its_outcome(fake, capsys):
     assert run(["key", "gk1.a/b"]) == 0
     output = capsys.readouterr().out
     assert "gk1.a/b: not_run: it did not run and will not" in output
@@ -315,14 +317,14 @@
         (["load", "compare", "/absent", "/absent"], "load run --save"),
     ],
 )
-def test_bad_input_ends_with_code_2_and_its_mend(fake, capsys, arguments, words):
+def test_invalid_input_gives_exit_code_2_and_a_hint(fake, capsys, arguments, words):
     assert run(arguments) == 2
     error = capsys.readouterr().err
     assert "Traceback" not in error
     assert words in error
 
 
-def test_a_host_that_is_not_there_is_passed_over(fake, monkeypatch, capsys):
+def test_an_unreachable_host_is_skipped(fake, monkeypatch, capsys):
     monkeypatch.setenv("GYPSUMUSHER_OPERATORS", f"127.0.0.1:1,{fake.address}")
     assert run(["status"]) == 0
     monkeypatch.setenv("GYPSUMUSHER_OPERATORS", "127.0.0.1:1")
@@ -330,7 +332,7 @@
     assert "connect to 127.0.0.1:1 failed" in capsys.readouterr().err
 
 
-def test_access_comes_from_a_file_too(fake, monkeypatch, tmp_path):
+def test_access_settings_are_read_from_a_file(fake, monkeypatch, tmp_path):
     monkeypatch.delenv("GYPSUMUSHER_OPERATORS")
     monkeypatch.delenv("GYPSUMUSHER_TOKEN")
     path = write(tmp_path, f"operators: ['{fake.address}']\ntoken: {TOKEN}\n")
@@ -338,7 +340,7 @@
     assert run(["status", "--access", write(tmp_path, "operator: x")]) == 2
 
 
-def test_an_unexpected_error_is_one_line(fake, monkeypatch, capsys):
+def test_an_unexpected_error_is_reported_on_one_line(fake, monkeypatch, capsys):
     monkeypatch.setattr(
         "gypsumusher_cli.status_commands.format_status", lambda status: 1 / 0
     )
--- a/libs/cli/tests/test_load_generator.py
+++ b/libs/cli/tests/test_load_generator.py
@@ -24,18 +24,18 @@
 
 
 class FakeHosts:
-    """Two entry hosts in one process; what goes wrong is set by the test."""
+    """Entry hosts in one process; a test sets the faults that they show."""
 
     def __init__(self):
-        self.held = []
+        self.bound_sockets = []
         self.runners = []
         self.addresses = []
-        self.entry_asked = 0
+        self.entry_queries = 0
         self.break_after = None
-        self.refuse = []
+        self.refusals = []
         self.keys_seen = []
         self.resumed_after = []
-        self.forget_streams = False
+        self.streams_lost = False
 
     async def start(self, count=2):
         for _ in range(count):
@@ -56,19 +56,19 @@
     async def close(self):
         for runner in self.runners:
             await runner.cleanup()
-        for held in self.held:
-            held.close()
+        for bound in self.bound_sockets:
+            bound.close()
 
-    def dead_address(self):
-        # Bound and not listening: it refuses connections, and unlike the port of a
-        # closed server nobody else on the machine can be given it meanwhile.
-        held = socket.socket()
-        held.bind(("127.0.0.1", 0))
-        self.held.append(held)
-        return "{}:{}".format(*held.getsockname())
+    def refusing_address(self):
+        # A port that is bound but doesn't listen refuses connections. Unlike the port
+        # of a closed server it can't be assigned to another process meanwhile.
+        bound = socket.socket()
+        bound.bind(("127.0.0.1", 0))
+        self.bound_sockets.append(bound)
+        return "{}:{}".format(*bound.getsockname())
 
     async def entry(self, request):
-        self.entry_asked += 1
+        self.entry_queries += 1
         hosts = [{"name": a, "address": a, "zone": "z"} for a in self.addresses]
         return web.json_response({"hosts": hosts, "max_age_s": 60})
 
@@ -76,8 +76,8 @@
         return web.json_response({"key": f"gk1.{len(self.keys_seen)}"})
 
     async def complete(self, request):
-        if self.refuse:
-            error = self.refuse.pop()
+        if self.refusals:
+            error = self.refusals.pop()
             return web.json_response({"error": error}, status=429)
         if "Idempotency-Key" in request.headers:
             self.keys_seen.append(request.headers["Idempotency-Key"])
@@ -87,7 +87,7 @@
         assert request.headers["Gypsumusher-Resume"] == "token"
         after = int(request.headers["Last-Event-ID"])
         self.resumed_after.append(after)
-        if self.forget_streams:
+        if self.streams_lost:
             self.break_after = None
             error = {"code": "endpoint_failed", "run": "unknown"}
             return web.json_response({"error": error}, status=502)
@@ -114,7 +114,7 @@
 def run(document, prepare=None, hosts=None):
     fake = FakeHosts()
 
-    async def whole():
+    async def run_with_hosts():
         await fake.start()
         if prepare is not None:
             await prepare(fake)
@@ -128,7 +128,7 @@
         finally:
             await fake.close()
 
-    return fake, asyncio.run(whole())
+    return fake, asyncio.run(run_with_hosts())
 
 
 def with_stream(**change):
@@ -136,20 +136,19 @@
     return {**DOCUMENT, "streams": {"checks": stream}}
 
 
-def test_whole_answers_are_served_and_the_entry_answer_is_kept():
+def test_complete_responses_are_served_and_the_entry_response_is_cached():
     fake, outcomes = run(DOCUMENT)
     assert outcomes
     assert {item.result for item in outcomes} == {"served"}
     assert all(item.on_time for item in outcomes)
-    assert fake.entry_asked == 1
+    assert fake.entry_queries == 1
 
 
-def test_a_broken_answer_is_resumed_from_its_last_event():
-    """An entry host dies while it streams an answer.
+def test_a_broken_response_is_resumed_from_its_last_event():
+    """An entry host dies while it streams a response, after two events.
 
-    The caller's connection breaks after two events. It asks another host with the
-    token of the first bytes and the last event id, and gets the rest; it must not
-    begin anew, or the letter would hold its first lines twice.
+    The caller has to resume at another host with the resume token and the last event
+    id. A restart would return the first events twice.
     """
 
     async def prepare(fake):
@@ -162,32 +161,32 @@
 
 
 @pytest.mark.parametrize(("share", "result"), [(0.0, "served"), (1.0, "lost")])
-def test_an_answer_that_can_t_be_resumed(share, result):
-    """The engine that held a broken answer is gone.
+def test_a_response_that_can_t_be_resumed(share, result):
+    """The engine of a broken response is gone, so that the resume is refused.
 
-    The resume is refused. An idempotent request begins anew and nothing of the first
-    answer is kept; a non-idempotent one may not, and counts as lost, since it had
-    been accepted.
+    An idempotent request is restarted, and nothing of the first response is kept. A
+    non-idempotent one must not be restarted and counts as lost, since a host had
+    accepted it.
     """
 
     async def prepare(fake):
         fake.break_after = 3
-        fake.forget_streams = True
+        fake.streams_lost = True
 
     document = with_stream(non_idempotent_share=share)
     _, outcomes = run(document, prepare)
     assert outcomes[0].result == result
 
 
-def test_a_host_that_takes_no_connection_is_passed_over():
+def test_a_host_that_refuses_connections_is_skipped():
     async def prepare(fake):
-        fake.addresses[0] = fake.dead_address()
+        fake.addresses[0] = fake.refusing_address()
 
     _, outcomes = run(DOCUMENT, prepare)
     assert {item.result for item in outcomes} == {"served"}
 
 
-def test_non_idempotent_requests_carry_a_key():
+def test_non_idempotent_requests_have_an_idempotency_key():
     fake, outcomes = run(with_stream(non_idempotent_share=1.0))
     assert len(fake.keys_seen) == len(outcomes)
 
@@ -201,9 +200,11 @@
         ({"code": "stopping", "run": "no", "retry_after_s": None}, "served"),
     ],
 )
-def test_a_refused_caller_comes_back_only_when_told_to(error, result):
+def test_a_refused_request_is_retried_only_with_retry_after_or_at_another_host(
+    error, result
+):
     async def prepare(fake):
-        fake.refuse = [error]
+        fake.refusals = [error]
 
     _, outcomes = run(DOCUMENT, prepare)
     refused = [item for item in outcomes if item.result == "refused"]
@@ -211,19 +212,19 @@
     assert {item.result for item in outcomes} <= {"served", "refused"}
 
 
-def test_a_service_call_is_checked_against_its_echo():
+def test_the_response_of_a_service_is_compared_with_the_request():
     change = {"deployment": "", "service": "counter-api", "path": "/labels"}
     for share in (0.0, 1.0):
         _, outcomes = run(with_stream(**change, non_idempotent_share=share))
         assert {item.result for item in outcomes} == {"served"}
 
 
-def test_requests_that_no_host_takes_are_lost():
+def test_requests_that_no_host_accepts_are_lost():
     document = with_stream(rate_per_s=40.0)
     document["classes"] = {"counter": {"first_token_s": 0.1, "deadline_s": 0.1}}
 
     async def prepare(fake):
-        fake.addresses = [fake.dead_address(), fake.dead_address()]
+        fake.addresses = [fake.refusing_address(), fake.refusing_address()]
 
     _, outcomes = run(document, prepare)
     assert outcomes
--- a/libs/cli/tests/test_load_report.py
+++ b/libs/cli/tests/test_load_report.py
@@ -13,7 +13,7 @@
 )
 from gypsumusher_cli.load_spec import ClassTarget, LoadSpec
 
-MIX = LoadSpec(7, 10.0, True, {"counter": ClassTarget(1.5, 10.0)}, {}, ())
+SPEC = LoadSpec(7, 10.0, True, {"counter": ClassTarget(1.5, 10.0)}, {}, ())
 
 
 def outcome(number, result="served", reason="", on_time=True, non_idempotent=False):
@@ -27,8 +27,8 @@
         reason=reason,
         run="yes",
         first_token_s=0.1 * (number + 1),
-        whole_s=1.0 + number,
-        gaps_s=(0.01, 0.02),
+        total_s=1.0 + number,
+        inter_token_s=(0.01, 0.02),
         output_tokens=3,
         resumes=0,
         refusals=0,
@@ -46,8 +46,8 @@
 ]
 
 
-def test_a_report_counts_each_end_and_the_goodput():
-    report = summarize(MIX, OUTCOMES, 10.0, role_changes=2)
+def test_a_report_counts_each_result_and_the_goodput():
+    report = summarize(SPEC, OUTCOMES, 10.0, role_changes=2)
     item = report.classes[0]
     assert (item.sent, item.served, item.on_time, item.lost) == (4, 2, 1, 1)
     assert item.refused == {"overloaded": 1}
@@ -59,20 +59,20 @@
     assert "role changes 2" in table
 
 
-def test_a_saved_report_reads_back_with_its_histograms(tmp_path):
-    report = summarize(MIX, OUTCOMES, 10.0)
+def test_a_saved_report_is_read_back_with_its_histograms(tmp_path):
+    report = summarize(SPEC, OUTCOMES, 10.0)
     save_report(report, tmp_path / "report.json")
     again = read_report(tmp_path / "report.json")
     assert format_report(again) == format_report(report)
     assert "25.0 -> 25.0" in compare_reports(report, again)
 
 
-def test_a_class_that_only_one_report_holds_is_shown_as_absent():
-    report = summarize(MIX, OUTCOMES, 10.0)
-    assert "absent" in compare_reports(report, summarize(MIX, [], 10.0))
+def test_a_class_that_only_one_report_has_is_shown_as_absent():
+    report = summarize(SPEC, OUTCOMES, 10.0)
+    assert "absent" in compare_reports(report, summarize(SPEC, [], 10.0))
 
 
-def test_a_file_that_is_no_report_is_refused(tmp_path):
+def test_a_file_that_is_not_a_report_is_refused(tmp_path):
     (tmp_path / "other.json").write_text('{"format": "x"}')
     for name in ("other.json", "absent.json"):
         with pytest.raises(InputError, match="load run --save"):
--- a/libs/cli/tests/test_load_spec.py
+++ b/libs/cli/tests/test_load_spec.py
@@ -27,9 +27,9 @@
 
 
 def test_the_same_seed_draws_the_same_arrivals():
-    mix = parse_load_spec(DOCUMENT)
-    assert plan_arrivals(mix) == plan_arrivals(mix)
-    assert plan_arrivals(mix) != plan_arrivals(mix._replace(seed=8))
+    spec = parse_load_spec(DOCUMENT)
+    assert plan_arrivals(spec) == plan_arrivals(spec)
+    assert plan_arrivals(spec) != plan_arrivals(spec._replace(seed=8))
 
 
 def test_a_shift_changes_the_rate_from_its_time_on():
@@ -39,10 +39,10 @@
     assert max(checks) < 10.0
 
 
-def test_prompts_have_their_length_and_differ():
-    mix = parse_load_spec(DOCUMENT)
-    arrivals = plan_arrivals(mix)
-    prompts = [make_prompt(mix, item) for item in arrivals]
+def test_prompts_have_the_planned_length_and_are_unique():
+    spec = parse_load_spec(DOCUMENT)
+    arrivals = plan_arrivals(spec)
+    prompts = [make_prompt(spec, item) for item in arrivals]
     assert [len(prompt) for prompt in prompts] == [
         item.prompt_chars for item in arrivals
     ]
@@ -67,14 +67,14 @@
         ),
     ],
 )
-def test_a_wrong_file_names_each_key_and_its_mend(change, words):
+def test_an_invalid_file_is_refused_with_each_key_and_a_hint(change, words):
     with pytest.raises(InputError) as raised:
         parse_load_spec({**DOCUMENT, **change}, "mix.yaml")
     assert "mix.yaml can't be used" in str(raised.value)
     assert words in str(raised.value)
 
 
-def test_unreadable_files_are_named(tmp_path):
+def test_the_error_for_an_unreadable_file_has_its_name(tmp_path):
     broken = tmp_path / "broken.yaml"
     broken.write_text("seed: [")
     for path in (tmp_path / "absent.yaml", broken):
--- a/libs/cli/tests/test_losses.py
+++ b/libs/cli/tests/test_losses.py
@@ -1,18 +1,18 @@
-"""What was lost and why, from the logs of several hosts."""
+"""Lost and late requests and their causes, from the logs of several hosts."""
 
 from gypsumusher_cli.losses import (
+    CALLER_LEFT,
+    ENDPOINT_FAILURE,
     ENDPOINT_LOST,
     HOST_LOST,
     LATE_AFTER_FAILURE,
-    LATE_PAUSE,
     LATE_QUEUE,
     LATE_SERVICE,
+    LATE_TOKEN_GAP,
     LATE_TOO_LARGE,
-    LEFT,
-    OWN_FAILURE,
+    NO_RESPONSE,
     QUEUED,
-    SILENT,
-    UNFINISHED,
+    STREAM_UNFINISHED,
     find_losses,
     format_losses,
 )
@@ -35,16 +35,16 @@
     return {loss.cause: loss.count for loss in find_losses(lines)}
 
 
-def test_what_was_served_in_time_or_is_owed_nothing_is_no_loss():
+def test_requests_served_in_time_or_without_a_route_are_not_losses():
     assert not causes(
         end("a", "200:streamed", objective_ms=500, first_ms=400, events=3),
         end("b", "404:no_route"),
         line(9, "request_ended", "c", outcome="503:no_configuration"),
-        "not a line of ours",
+        "not a line of a host",
     )
 
 
-def test_lost_requests_are_told_apart_by_cause():
+def test_lost_requests_are_counted_by_cause():
     found = causes(
         line(1, "endpoint_deleted", endpoint="e-1"),
         end("a", "502:broken", endpoint="e-1"),
@@ -59,20 +59,20 @@
     assert found == {
         ENDPOINT_LOST: 1,
         QUEUED: 1,
-        SILENT: 2,
-        UNFINISHED: 1,
-        LEFT: 1,
-        OWN_FAILURE: 1,
+        NO_RESPONSE: 2,
+        STREAM_UNFINISHED: 1,
+        CALLER_LEFT: 1,
+        ENDPOINT_FAILURE: 1,
     }
 
 
-def test_a_request_without_an_end_was_lost_with_its_host():
-    """The host was killed, and no line of it tells that a request was lost."""
+def test_a_request_without_a_logged_end_was_lost_with_its_host():
+    """A killed host logs no end of its requests; they still count as lost."""
     found = find_losses([line(1, "prompt_read", "a", lane="timely")])
     assert [(loss.cause, loss.route) for loss in found] == [(HOST_LOST, "-")]
 
 
-def test_late_requests_are_told_apart_by_cause():
+def test_late_requests_are_counted_by_cause():
     late = {"objective_ms": 500, "first_ms": 900, "events": 4}
     reading = {"lane": "timely", "expected_ms": 300, "took_ms": 320}
     found = causes(
@@ -91,11 +91,11 @@
         LATE_TOO_LARGE: 1,
         LATE_QUEUE: 1,
         LATE_SERVICE: 1,
-        LATE_PAUSE: 1,
+        LATE_TOKEN_GAP: 1,
     }
 
 
-def test_the_most_frequent_comes_first_with_what_was_decided_on_its_example():
+def test_the_most_frequent_cause_is_first_with_the_lines_of_its_example():
     found = find_losses(
         [
             end("a", "500:answered"),
@@ -106,7 +106,7 @@
     )
     assert [(loss.cause, loss.count) for loss in found] == [
         (QUEUED, 2),
-        (OWN_FAILURE, 1),
+        (ENDPOINT_FAILURE, 1),
     ]
     text = format_losses(found)
     assert text.index("reason=silent") < text.index("outcome=504:timeout")
--- a/libs/cli/tests/test_response_checker.py
+++ b/libs/cli/tests/test_response_checker.py
@@ -2,11 +2,11 @@
 
 import pytest
 
-from gypsumusher_cli.response_checker import AnswerChecker
+from gypsumusher_cli.response_checker import ResponseChecker
 
 
-def event(number, text, answer_id="cmpl-1"):
-    data = json.dumps({"id": answer_id, "choices": [{"text": text}]})
+def event(number, text, completion_id="cmpl-1"):
+    data = json.dumps({"id": completion_id, "choices": [{"text": text}]})
     return f"id: {number}\ndata: {data}\n\n".encode()
 
 
@@ -15,18 +15,18 @@
 
 
 def check(*events, expected=None):
-    checker = AnswerChecker()
+    checker = ResponseChecker()
     for now_s, part in enumerate(events):
         for line in part.splitlines(keepends=True):
             checker.on_line(float(now_s), line)
-    return checker, checker.verdict(expected)
+    return checker, checker.find_fault(expected)
 
 
-def test_a_whole_answer_has_its_text_and_times():
+def test_a_complete_response_has_its_text_and_times():
     checker, fault = check(event(1, "a"), event(2, "b"), end(3), expected="ab")
     assert fault is None
     assert checker.text == "ab"
-    assert (checker.first_token_s, checker.gaps_s) == (0.0, [1.0])
+    assert (checker.first_token_s, checker.inter_token_s) == (0.0, [1.0])
 
 
 @pytest.mark.parametrize(
@@ -42,23 +42,23 @@
         ((event(1, "a"), event(2, "b"), b"data: [DONE]\n\n"), "incomplete"),
     ],
 )
-def test_each_fault_of_an_answer_is_seen(events, kind):
+def test_each_fault_of_a_response_is_detected(events, kind):
     assert check(*events, expected="ab")[1].kind == kind
 
 
-def test_a_half_event_of_a_broken_connection_is_forgotten():
-    checker = AnswerChecker()
+def test_the_incomplete_event_of_a_broken_connection_is_discarded():
+    checker = ResponseChecker()
     for line in event(1, "a").splitlines(keepends=True):
         checker.on_line(0.0, line)
     checker.on_line(1.0, b"id: 2\n")
-    checker.new_connection()
+    checker.on_reconnect()
     for part in (event(2, "b"), end(3)):
         for line in part.splitlines(keepends=True):
             checker.on_line(2.0, line)
-    assert checker.verdict("ab") is None
+    assert checker.find_fault("ab") is None
 
 
-def test_the_entry_host_s_final_word_is_kept():
+def test_an_error_event_of_the_entry_host_is_recorded():
     error = {"error": {"code": "endpoint_failed", "run": "unknown"}}
     checker, _ = check(event(1, "a"), f"data: {json.dumps(error)}\n\n".encode())
     assert checker.error["code"] == "endpoint_failed"
--- a/libs/cli/tests/test_retries.py
+++ b/libs/cli/tests/test_retries.py
@@ -1,4 +1,4 @@
-"""The retries of several hosts against the operator's bound, from their logs."""
+"""The retries of several hosts, compared with the permitted number, from their logs."""
 
 from gypsumusher_cli.retries import find_retries, format_retries
 
@@ -9,7 +9,7 @@
     return " ".join([*words, *(f"{key}={value}" for key, value in pairs.items())])
 
 
-def test_the_window_nearest_to_the_bound_is_found_over_all_hosts():
+def test_the_window_closest_to_the_limit_is_found_over_all_hosts():
     lines = [
         *(line(second, "h-1", "request_ended") for second in range(20)),
         line(13, "h-1", "request_ended", repeats=2, retries=1),
@@ -28,6 +28,9 @@
     assert "h-2" in format_retries([found])
 
 
-def test_lines_without_a_service_count_for_none():
-    lines = ["no line of ours", "time=2026-02-05T01:28:00Z event=request_ended host=h"]
+def test_lines_without_a_service_are_ignored():
+    lines = [
+        "not a line of a host",
+        "time=2026-02-05T01:28:00Z event=request_ended host=h",
+    ]
     assert find_retries(lines, 0.2, 5.0, 10.0) == []
--- a/libs/cli/tests/test_trace.py
+++ b/libs/cli/tests/test_trace.py
@@ -1,9 +1,9 @@
-"""A request's story from the logs of several hosts."""
+"""The trace of a request from the logs of several hosts."""
 
 from hypothesis import given
 from hypothesis import strategies as st
 
-from gypsumusher_cli.trace import format_trace, join_trace
+from gypsumusher_cli.trace import build_trace, format_trace
 from gypsumusher_process import format_fields, parse_fields
 
 LINES = [
@@ -16,12 +16,12 @@
     "outcome=502:broken endpoint=e-1",
     "time=2026-02-05T01:28:32.0Z level=INFO event=request_ended host=a id=other "
     "outcome=200:answered",
-    "not a line of ours",
+    "not a line of a host",
 ]
 
 
-def test_a_story_holds_the_request_and_what_its_host_learnt_of_its_endpoints():
-    trace = join_trace("r", LINES[::-1])
+def test_a_trace_has_the_request_and_its_host_s_events_of_its_endpoints():
+    trace = build_trace("r", LINES[::-1])
     events = [(line["event"], line.get("endpoint")) for line in trace.lines]
     assert events == [
         ("endpoint_changed", "e-1"),
@@ -32,18 +32,18 @@
     assert "broke its answer off" in format_trace(trace)
 
 
-def test_a_request_without_an_end_is_told_as_such():
-    # The host was killed while it served the request: no line tells of its end, and
-    # that is what the reader has to hear.
-    trace = join_trace("r", LINES[:4])
+def test_a_trace_without_a_logged_end_says_so():
+    # A host that is killed while it serves a request logs no end of it; the trace has
+    # to say so instead of ending without an outcome.
+    trace = build_trace("r", LINES[:4])
     assert trace.outcome is None
     assert "may have ended before it" in format_trace(trace)
 
 
 def test_an_unknown_request_has_no_lines():
-    assert join_trace("nobody", LINES).lines == []
+    assert build_trace("nobody", LINES).lines == []
 
 
 @given(st.dictionaries(st.from_regex(r"\A[a-z_]{1,8}\Z"), st.text(max_size=12)))
-def test_fields_come_back_as_they_were_written(fields):
+def test_formatted_fields_are_parsed_back_unchanged(fields):
     assert parse_fields(format_fields(fields)) == fields
