--- a/libs/cli/gypsumusher_cli/command_base.py
+++ b/libs/cli/gypsumusher_cli/command_base.py
@@ -55,7 +55,7 @@
         """
         raise NotImplementedError
 
-    def resolve_access(self):
+    def access_settings(self):
         """Return the access settings from options, environment and access file."""
         names = ("operators", "token", "access", "callers")
         typed = {
@@ -82,7 +82,7 @@
 
     async def run_command(self):
         """Open a client, run the command with it, and close it."""
-        access = self.resolve_access()
+        access = self.access_settings()
         require_operators(access)
         client = OperatorsClient(access)
         await client.start()
--- a/libs/cli/gypsumusher_cli/drain_commands.py
+++ b/libs/cli/gypsumusher_cli/drain_commands.py
@@ -21,6 +21,7 @@
 from gypsumusher_cli.errors import CommandError, InputError
 
 POLL_INTERVAL_S = 0.5
+# Text, like any value of an option.
 DEFAULT_TIMEOUT_S = "600"
 # How often a patch may conflict with other operators' changes. A conflict is resolved
 # by reading the configuration again, since adding a name to a drain list, or removing
@@ -172,21 +173,21 @@
         idle_polls = 0
         while idle_polls < IDLE_POLLS:
             await asyncio.sleep(POLL_INTERVAL_S)
-            statuses = await fetch_statuses(client, self.resolve_access().operators)
+            statuses = await fetch_statuses(client, self.access_settings().operators)
             if not statuses:
                 continue
-            words, is_idle = self.describe_work(statuses, name)
+            work, is_idle = self.describe_work(statuses, name)
             outdated_hosts = [
                 status["host"]
                 for status in statuses
                 if status.get("config_number", 0) < number
             ]
             if outdated_hosts:
-                words += f", not yet adopted by {', '.join(outdated_hosts)}"
+                work += f", not yet adopted by {', '.join(outdated_hosts)}"
                 is_idle = False
-            if words != last_printed:
-                self.print_line(f"  {words}")
-                last_printed = words
+            if work != last_printed:
+                self.print_line(f"  {work}")
+                last_printed = work
             idle_polls = idle_polls + 1 if is_idle else 0
 
     def find_drain_path(self, status, name):
@@ -236,13 +237,13 @@
             for item in status.get("hosts", [])
             if item.get("name") == name
         }
-        words = f"state {'/'.join(sorted(str(state) for state in states)) or 'gone'}"
+        work = f"state {'/'.join(sorted(str(state) for state in states)) or 'gone'}"
         if not seen:
             # Only the host's own status lists its requests, so the drain can't be
             # followed here. Responses of /v1/entry omit the host as soon as the
             # configuration is in force, so that it gets no new callers.
-            return f"{words}, its own requests are not seen from here", True
-        return f"{words}, {in_flight} requests in flight", in_flight == 0
+            return f"{work}, its own requests are not seen from here", True
+        return f"{work}, {in_flight} requests in flight", in_flight == 0
 
 
 class DrainEndpoint(_DrainCommand):
@@ -268,5 +269,5 @@
     def describe_work(self, statuses, name):
         """Return the endpoint's own count and the hosts' requests in flight as text."""
         running, in_flight = count_endpoint_requests(statuses, name)
-        words = f"{running} running or waiting there, {in_flight} in flight from here"
-        return words, running == 0 and in_flight == 0
+        work = f"{running} running or waiting there, {in_flight} in flight from here"
+        return work, running == 0 and in_flight == 0
--- a/libs/cli/gypsumusher_cli/entry_cache.py
+++ b/libs/cli/gypsumusher_cli/entry_cache.py
@@ -50,7 +50,7 @@
         Returns
         -------
         tuple of str
-            The seeds when no host responds.
+            Never empty: the seeds when no host responds.
         """
         cached = self._cached.get(deployment)
         if cached is not None and now_s < cached.expires_at_s:
@@ -78,6 +78,7 @@
         del self._cached[deployment]
 
     async def _query_hosts(self, now_s, deployment):
+        """Query hosts until one responds, cache its response, return the addresses."""
         params = {}
         if deployment:
             params["deployment"] = deployment
@@ -95,6 +96,7 @@
         return self._seed_addresses
 
     async def _query_host(self, address, params):
+        """Return a host's (addresses, max_age_s); None without a usable response."""
         timeout = aiohttp.ClientTimeout(total=QUERY_TIMEOUT_S)
         url = f"http://{address}/v1/entry"
         try:
--- a/libs/cli/gypsumusher_cli/load_commands.py
+++ b/libs/cli/gypsumusher_cli/load_commands.py
@@ -43,7 +43,7 @@
 
     async def run_command(self):
         """Run the load; raise an error when a response was lost or wrong."""
-        access = self.resolve_access()
+        access = self.access_settings()
         require_callers(access)
         spec = read_load_spec(self.argument("file"))
         loop = asyncio.get_running_loop()
--- a/libs/cli/gypsumusher_cli/load_report.py
+++ b/libs/cli/gypsumusher_cli/load_report.py
@@ -10,11 +10,12 @@
 from gypsumusher_cli.errors import InputError
 
 REPORT_FORMAT = "gypsumusher-load-report-1"
-# Range of the histograms: one hour.
+# Upper bound of the histograms, one hour; longer times are not recorded.
 MAX_TIME_MS = 3_600_000
 SIGNIFICANT_DIGITS = 3
 # Histograms count microseconds, since times between tokens are only a few hundred.
 MICROSECONDS_PER_S = 1_000_000
+# Latencies that a report has histograms of.
 TIMES = ("first_token", "between_tokens", "whole_answer")
 FAULTS = ("lost", "doubled", "incomplete", "crossed")
 PERCENTILES = (50.0, 95.0, 99.0)
@@ -152,6 +153,7 @@
 
 
 def _summarize_class(target, class_name, outcomes, elapsed_s):
+    """Return the report of one class of one target."""
     counts = collections.Counter(item.result for item in outcomes)
     refused = collections.Counter(
         item.reason for item in outcomes if item.result == "refused"
@@ -176,6 +178,7 @@
 
 
 def _record_times(outcomes):
+    """Return the histograms of the served outcomes' times, by the names in TIMES."""
     times = {name: new_histogram() for name in TIMES}
     for outcome in outcomes:
         if outcome.result != "served":
@@ -214,18 +217,23 @@
 def _class_to_dict(item):
     body = item._asdict()
     body["times"] = {
-        name: {"histogram": _encode_histogram(histogram), **_percentiles(histogram)}
+        name: {
+            "histogram": _encode_histogram(histogram),
+            **_percentile_fields(histogram),
+        }
         for name, histogram in item.times.items()
     }
     return body
 
 
 def _encode_histogram(histogram):
+    """Return a histogram in HdrHistogram's compressed base64 encoding."""
     encoded = histogram.encode()
     return encoded.decode() if isinstance(encoded, bytes) else encoded
 
 
-def _percentiles(histogram):
+def _percentile_fields(histogram):
+    """Return the percentiles in seconds under their names in a saved report."""
     return {
         f"p{percentile:g}_s": percentile_s(histogram, percentile)
         for percentile in PERCENTILES
@@ -327,6 +335,7 @@
 
 
 def _format_percentiles(histogram, scale, digits):
+    """Return the 50th and 95th percentile as ``p50/p95``, in seconds times scale."""
     values = []
     for percentile in (50.0, 95.0):
         seconds = percentile_s(histogram, percentile)
@@ -335,6 +344,7 @@
 
 
 def _format_totals(report):
+    """Return the line with the sums over all classes."""
     sums = collections.Counter()
     for item in report.classes:
         sums["sent"] += item.sent
@@ -395,6 +405,8 @@
 
 
 def _format_comparison_row(name, old, new):
+    """Return the cells of one class; None stands for a class that a report lacks."""
+
     def change(value):
         return f"{_format_cell(old, value)} -> {_format_cell(new, value)}"
 
--- a/libs/cli/gypsumusher_cli/load_spec.py
+++ b/libs/cli/gypsumusher_cli/load_spec.py
@@ -35,11 +35,12 @@
 DEFAULT_TENANT = "anonymous"
 # Leaves room for the marker that makes each prompt unique; see make_prompt.
 MIN_PROMPT_CHARS = 64
+# Upper bounds of the values in a load file; a file with a larger value is refused.
 MAX_PROMPT_CHARS = 4_000_000
 MAX_OUTPUT_TOKENS = 1_000_000
 MAX_RATE_PER_S = 100_000.0
 MAX_DURATION_S = 7 * 24 * 3600.0
-# Upper bound of a class's first_token_s and deadline_s.
+# Of a class's first_token_s and deadline_s.
 MAX_TARGET_S = 24 * 3600.0
 
 
@@ -115,7 +116,7 @@
         self.problems.append(FileProblem(path, problem, hint))
 
     def mapping(self, value, path):
-        """Return a mapping, or ``{}`` and record a problem if it is none."""
+        """Return the value; ``{}`` and a recorded problem if it is not a mapping."""
         if isinstance(value, dict):
             return value
         self.add_problem(path, f"is {value!r}", "write a mapping of keys to values")
--- a/libs/cli/gypsumusher_cli/losses.py
+++ b/libs/cli/gypsumusher_cli/losses.py
@@ -20,6 +20,7 @@
         "send_failed",
     )
 )
+# Causes of refusals, by the outcome that the event request_ended logs.
 CAUSES_BY_OUTCOME = {
     "503:no_configuration": "refused: the host knew no configuration",
     "503:no_endpoint": "refused: no endpoint was known or well",
@@ -30,21 +31,27 @@
     "503:connect": "refused: no endpoint took a connection",
     "503:no_connection": "refused: this host's connections were used up",
 }
-# Causes, as they stand in the table and in `Loss.cause`.
+# Causes of a loss, the values of `Loss.cause`.
 CONNECTION_BROKEN = "connection to the endpoint broken"
 ENDPOINT_LOST = "endpoint lost"
 HOST_LOST = "host lost, or its log ends before"
+# At the end of the request its prefill still waited in an engine's queue.
 QUEUED = "still in an engine's queue"
+# No event of the response arrived before the request timed out.
 NO_RESPONSE = "an endpoint's answer did not come"
 STREAM_UNFINISHED = "the stream did not end in time"
 CALLER_LEFT = "the caller left, or its connection broke"
 ENDPOINT_FAILURE = "the endpoint's own failure"
 LATE_AFTER_FAILURE = "late: an earlier send failed"
+# The prefill alone, without any queue, takes longer than the objective.
 LATE_TOO_LARGE = "late: the prompt is too large"
+# The prefill waited in a queue for most of the objective, or was already too late when
+# it was queued (lane "late").
 LATE_QUEUE = "late: queue"
 # The prefill took much longer than predicted.
 LATE_MISPREDICTED = "late: expectation"
-# The prefill was in time, so the KV transfer or the decode engine took the time.
+# Neither prefill nor queue explains the delay, so the transfer of the prompt's state to
+# the decode engine, or that engine, took the time.
 LATE_TRANSFER_OR_DECODE = "late: hand-over, or the engine that makes the tokens"
 # The first event was in time, but a later gap between events exceeded its limit.
 LATE_TOKEN_GAP = "late: pause between events"
@@ -86,6 +93,7 @@
     Returns
     -------
     list of Loss
+        One per route and cause.
     """
     lines_by_request, removed_endpoints = _group_lines(lines)
     found = {}
@@ -137,6 +145,7 @@
 
 
 def _find_end(request_lines):
+    """Return the fields of a request's event request_ended; None without one."""
     for fields in request_lines:
         if fields["event"] == "request_ended":
             return fields
@@ -187,12 +196,15 @@
     A request is late when the first byte of its response exceeds the route's
     objective, or a gap between events its limit.
     """
-    objective_ms = _number(end, "objective_ms")
-    first_ms = _number(end, "first_ms")
+    objective_ms = _parse_number(end, "objective_ms")
+    first_ms = _parse_number(end, "first_ms")
     if objective_ms is None or first_ms is None:
         return None
     if first_ms <= objective_ms:
-        pause_ms, limit_ms = _number(end, "pause_ms"), _number(end, "pause_limit_ms")
+        pause_ms, limit_ms = (
+            _parse_number(end, "pause_ms"),
+            _parse_number(end, "pause_limit_ms"),
+        )
         is_late = pause_ms is not None and limit_ms is not None and pause_ms > limit_ms
         return LATE_TOKEN_GAP if is_late else None
     if any(fields["event"] == "send_failed" for fields in request_lines):
@@ -208,20 +220,20 @@
 
     Prediction and queue are named only when they account for over half the objective.
     """
-    took_ms = _number(prefill, "took_ms") or 0.0
-    expected_ms = _number(prefill, "expected_ms") or 0.0
-    if (_number(prefill, "cost_ms") or 0.0) > objective_ms:
+    took_ms = _parse_number(prefill, "took_ms") or 0.0
+    expected_ms = _parse_number(prefill, "expected_ms") or 0.0
+    if (_parse_number(prefill, "cost_ms") or 0.0) > objective_ms:
         return LATE_TOO_LARGE
     if took_ms > MISPREDICTION_FACTOR * expected_ms and took_ms > objective_ms / 2.0:
         return LATE_MISPREDICTED
-    if (_number(prefill, "queue_ms") or 0.0) > objective_ms / 2.0:
+    if (_parse_number(prefill, "queue_ms") or 0.0) > objective_ms / 2.0:
         return LATE_QUEUE
     if prefill.get("lane") == "late":
         return LATE_QUEUE
     return LATE_TRANSFER_OR_DECODE
 
 
-def _number(fields, key):
+def _parse_number(fields, key):
     """Return a field as a number; None when it is absent or not a number."""
     try:
         return float(fields[key])
--- a/libs/cli/gypsumusher_cli/retries.py
+++ b/libs/cli/gypsumusher_cli/retries.py
@@ -2,7 +2,8 @@
 
 Within each window of time the hosts together may send a service at most
 ``ratio * requests + slack`` repeats; each host divides the slack by the number of hosts
-that it knows.
+that it knows of. A repeat is any send of a request beyond its first one; a retry is a
+repeat that is charged to the retry budget.
 """
 
 from datetime import datetime
@@ -132,7 +133,7 @@
 
 
 def _parse_record(fields):
-    """Return the counts of a log line; None when it tells nothing of a service."""
+    """Return the counts of a log line; None when it is of no counted event."""
     event = fields.get("event")
     if "service" not in fields or "time" not in fields:
         return None
--- a/libs/cli/gypsumusher_cli/status_commands.py
+++ b/libs/cli/gypsumusher_cli/status_commands.py
@@ -41,7 +41,7 @@
 
 
 def mark_drained_hosts(status, drained):
-    """Return a status in which live hosts that are drained have the state for it."""
+    """Return a status in which drained live hosts have the state "live, drained"."""
     hosts = []
     for host in status.get("hosts", []):
         if host.get("name") in drained and host.get("state") == "live":
@@ -94,6 +94,7 @@
             "stewards among the asked hosts",
         ),
     ]
+    # Fingerprints of the requests that are refused because they crashed engines.
     convictions = status.get("convictions", [])
     if convictions:
         blocks.append("refused for crashing engines: " + ", ".join(convictions))
@@ -130,7 +131,7 @@
         """Fetch and print the status, with the stewards of all known hosts."""
         status = require_ok_body(unwrap(await client.call("GET", "/admin/status")))
         config = require_ok_body(unwrap(await client.call("GET", "/admin/config")))
-        statuses = await fetch_statuses(client, self.resolve_access().operators)
+        statuses = await fetch_statuses(client, self.access_settings().operators)
         status = {**status, "stewards": merge_steward_leases(statuses)}
         drained = (config["document"].get("hosts") or {}).get("drain") or ()
         status = mark_drained_hosts(status, drained)
@@ -177,7 +178,7 @@
         """Query the hosts for the request's events and print them."""
         request_id = self.argument("request-id")
         path = f"/admin/explain/{quote_path_segment(request_id)}"
-        explanation = await query_hosts(client, self.resolve_access().operators, path)
+        explanation = await query_hosts(client, self.access_settings().operators, path)
         if explanation is None:
             raise CommandError(
                 f"none of the given hosts has events of request {request_id}",
--- a/libs/cli/gypsumusher_cli/trace.py
+++ b/libs/cli/gypsumusher_cli/trace.py
@@ -4,7 +4,7 @@
 
 from gypsumusher_process import parse_fields
 
-__all__ = ["Trace", "format_trace", "build_trace"]
+__all__ = ["Trace", "build_trace", "format_trace"]
 
 # A trace also shows lines of CONTEXT_EVENTS that the request's hosts logged within this
 # time before the request's last line: a change of its endpoints, of the configuration
@@ -52,7 +52,7 @@
         Fields of the request's lines and of the context lines, by time.
     outcome : str or None
         The outcome that was logged at the request's end, e.g. ``502:broken``; None
-        when no line tells the end.
+        when the end is not logged.
     cause : str
         The outcome explained in words.
     """
@@ -89,19 +89,17 @@
     for fields in parsed:
         if fields.get("event") not in CONTEXT_EVENTS or "time" not in fields:
             continue
-        if fields.get("host") not in hosts or not _is_shortly_before(
-            fields["time"], last
-        ):
+        if fields.get("host") not in hosts or not _is_near_end(fields["time"], last):
             continue
         if "endpoint" in fields and fields["endpoint"] not in endpoints:
             continue
         context.append(fields)
-    shown = sorted(own + context, key=lambda fields: fields.get("time", ""))
+    trace_lines = sorted(own + context, key=lambda fields: fields.get("time", ""))
     outcome = None
-    for fields in shown:
+    for fields in trace_lines:
         if fields.get("event") == "request_ended" and fields.get("id") == request_id:
             outcome = fields.get("outcome")
-    return Trace(request_id, shown, outcome, _cause_of(outcome))
+    return Trace(request_id, trace_lines, outcome, _explain_outcome(outcome))
 
 
 def format_trace(trace):
@@ -121,7 +119,8 @@
     return "\n".join(lines)
 
 
-def _cause_of(outcome):
+def _explain_outcome(outcome):
+    """Return an outcome, e.g. ``502:broken``, explained in words."""
     if outcome is None:
         return "the request's end is not logged: the host may have ended before it"
     reason = outcome.rpartition(":")[2]
@@ -130,8 +129,8 @@
     return CAUSES.get(reason, "see the lines above")
 
 
-def _is_shortly_before(time, last):
-    """Return whether ``time`` lies up to CONTEXT_WINDOW_S before ``last``.
+def _is_near_end(time, last):
+    """Return whether ``time`` lies within CONTEXT_WINDOW_S before ``last``.
 
     Up to 0.5 s after ``last`` also counts, for lines that were logged just after the
     request's end. Times are compared by their seconds within the hour (modulo 3600),
@@ -147,7 +146,7 @@
 def _second_of_hour(time):
     """Return the seconds since the full hour of ``YYYY-MM-DDTHH:MM:SS.ffffffZ``.
 
-    A malformed time gives -1800 s, half an hour from the full hour.
+    A malformed time gives -1800 s, half an hour before the full hour.
     """
     try:
         return int(time[14:16]) * 60.0 + float(time[17:26].rstrip("Z"))
--- a/libs/cli/tests/test_cmdline.py
+++ b/libs/cli/tests/test_cmdline.py
@@ -110,9 +110,9 @@
             if body["base_number"] != self.number:
                 error = {"code": "outdated", "message": "newer in force"}
                 changed = ["deployments/letter-models"]
-                answer = {"error": error, "number": self.number}
-                answer["changed_since"] = changed
-                return web.json_response(answer, status=409)
+                content = {"error": error, "number": self.number}
+                content["changed_since"] = changed
+                return web.json_response(content, status=409)
             self.number += 1
             self.patches.append({**body, "number": self.number, "changed": ["hosts"]})
             self._apply(self.document, body["patch"])
@@ -147,8 +147,8 @@
         return web.json_response({"request_id": "r1", "events": events})
 
     async def _key(self, request):
-        answer = {"key": request.match_info["key"], "outcome": "not_run"}
-        return web.json_response({**answer, "detail": "sealed"})
+        content = {"key": request.match_info["key"], "outcome": "not_run"}
+        return web.json_response({**content, "detail": "sealed"})
 
 
 @pytest.fixture
