--- a/libs/cli/gypsumusher_cli/command_base.py
+++ b/libs/cli/gypsumusher_cli/command_base.py
@@ -18,7 +18,7 @@
 
 ACCESS_OPTIONS = [
     option("operators", None, "Operators' addresses, IP:PORT[,IP:PORT].", flag=False),
-    option("token", None, "Operators' token; a variable hides it better.", flag=False),
+    option("token", None, "Operators' token; safer in the environment.", flag=False),
     option("access", None, "YAML file with operators, token, callers.", flag=False),
 ]
 JSON_OPTION = option("json", None, "Print JSON instead of a table.")
--- a/libs/cli/gypsumusher_cli/retries_commands.py
+++ b/libs/cli/gypsumusher_cli/retries_commands.py
@@ -38,20 +38,20 @@
 
     async def run_command(self):
         """Read the log files and print the worst window of each service."""
-        bounds = [self._number(name) for name in ("ratio", "slack", "window")]
+        bounds = [self._parse_number(name) for name in ("ratio", "slack", "window")]
         found = find_retries(read_lines(self.argument("files")), *bounds)
         if not self.option("json"):
             self.print_line(
                 format_retries(found)
                 if found
-                else "no line tells of a service's requests or retries"
+                else "the logs hold no requests or retries of a service"
             )
             return
         for item in found:
             hosts = [host._asdict() for host in item.hosts]
             self.print_line(json.dumps({**item._asdict(), "hosts": hosts}))
 
-    def _number(self, name):
+    def _parse_number(self, name):
         """Return an option's value as a finite number of at least 0."""
         value = self.option(name)
         try:
--- a/libs/cli/gypsumusher_cli/trace.py
+++ b/libs/cli/gypsumusher_cli/trace.py
@@ -31,11 +31,11 @@
     "connect": "no endpoint accepted a connection",
     "full": "the endpoints were at capacity, and nothing ran",
     "garbled": "an endpoint sent an invalid response",
-    "left": "the endpoint began to shut down before anything was sent",
+    "left": "the endpoint stopped taking new work before anything was sent",
     "no_configuration": "the host had just started and had no configuration",
     "no_endpoint": "no endpoint of the service was known",
     "no_route": "no route of the configuration in force matches the path",
-    "overloaded": "no engine would have started the request before its deadline",
+    "overloaded": "no engine would have started the request before the caller gives up",
     "silent": "an endpoint sent nothing for far longer than the work should take",
     "timeout": "the time limit of the route or of the caller expired",
 }
@@ -122,7 +122,7 @@
 def _explain_outcome(outcome):
     """Return an outcome, e.g. ``502:broken``, explained in words."""
     if outcome is None:
-        return "the request's end is not logged: the host may have ended before it"
+        return "these files lack the request's end: the host may have ended before it"
     reason = outcome.rpartition(":")[2]
     if reason.startswith("status_"):
         return "an endpoint responded with an error status"
