--- a/tools/capacity.py
+++ b/tools/capacity.py
@@ -1,7 +1,7 @@
-"""Write the tables of docs/CAPACITY.md from the report of a sweep over sizes.
+"""Prints the table of docs/CAPACITY.md from the report of a sweep over sizes.
 
-``capacity.py REPORT [--hosts N]`` prints a table of the measured points with their
-slopes, and what they lead to at a size, against the limits of control.
+``capacity.py REPORT [--hosts N]`` prints the measured points, the fitted growth, the
+value predicted for a number of hosts and its limit.
 """
 
 import argparse
@@ -13,13 +13,14 @@
 from gypsumusher_platform.sweep_report import decode_sweep
 from gypsumusher_ports import DecodeError
 
-# The size to design for, and what control may take of a host there.
+# Number of hosts to predict for: the size that the system is designed for.
 HOSTS = 330
+# Limits of what coordination may use of a host at that size, by unit.
 LIMITS = {"processor %": 4.7, "memory MB": 128.0, "kB a second": 2.0}
 
 
 def format_slopes(rows, hosts):
-    """Return the measured points, slopes and worked values as a Markdown table."""
+    """Return points, growth, predictions and limits as a Markdown table."""
     sizes = [size for size, _ in rows[0].median]
     header = " | ".join(str(size) for size in sizes)
     lines = [
@@ -37,12 +38,17 @@
     value = predict(fit, hosts)
     cells = [name, host, *(f"{value:g}" for _, value in points)]
     growth = f"{fit.slope:.3g} a host" if fit.form == "linear" else f"^{fit.slope:.2f}"
-    cells += [growth, f"{100 * fit.error:.0f}%", f"{value:.3g}", _verdict(name, value)]
+    cells += [
+        growth,
+        f"{100 * fit.error:.0f}%",
+        f"{value:.3g}",
+        _format_limit(name, value),
+    ]
     return "| " + " | ".join(cells) + " |"
 
 
-def _verdict(name, value):
-    """Return the limit of a quantity, and by how much a value is over it."""
+def _format_limit(name, value):
+    """Return the limit of a quantity, and by which factor a value exceeds it."""
     for ending, limit in LIMITS.items():
         if not name.endswith(ending):
             continue
@@ -53,12 +59,12 @@
 
 
 def main(arguments=None):
-    """Read a report and print its table; return the exit code.
+    """Print the table of a report and return the exit code.
 
     Parameters
     ----------
     arguments : list of str, optional
-        The command line; the process's own by default.
+        Command line; default: that of the process.
     """
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
     parser.add_argument("report", type=pathlib.Path, help="what the sweep printed")
--- a/tools/capacity_fit.py
+++ b/tools/capacity_fit.py
@@ -1,23 +1,24 @@
-"""Fits a slope to measured points and tells how well it fits."""
+"""Fits the growth of a quantity to measured points, with the error of the fit."""
 
 from typing import NamedTuple
 
 import numpy
 
-__all__ = ["LEAST_POINTS", "Fit", "fit_points", "predict"]
+__all__ = ["MIN_POINTS", "Fit", "fit_points", "predict"]
 
-LEAST_POINTS = 3
+# Two points fit any slope exactly.
+MIN_POINTS = 3
 
 
 class Fit(NamedTuple):
-    """How a quantity grows with the number of hosts.
+    """Fitted growth of a quantity with the number of hosts.
 
     Attributes
     ----------
     form : {"power", "linear"}
-        ``factor * hosts ** slope``, or ``factor + slope * hosts`` where a point is 0.
+        ``factor * hosts ** slope``, or ``factor + slope * hosts`` if any point is 0.
     factor, slope : float
-        As above.
+        Parameters of the form, in units of the quantity.
     error : float
         Root mean square of the residuals as a share of the mean value.
     """
@@ -29,12 +30,12 @@
 
 
 def fit_points(points):
-    """Fit a slope by least squares.
+    """Fit the growth by least squares.
 
     Parameters
     ----------
     points : list of (int, float)
-        Number of hosts and value; at least three.
+        Number of hosts and value; at least `MIN_POINTS`.
 
     Returns
     -------
@@ -43,10 +44,10 @@
     Raises
     ------
     ValueError
-        If there are too few points to tell a slope from noise.
+        If there are fewer than `MIN_POINTS` points, too few to tell growth from noise.
     """
-    if len(points) < LEAST_POINTS:
-        raise ValueError(f"{len(points)} points; {LEAST_POINTS} are needed")
+    if len(points) < MIN_POINTS:
+        raise ValueError(f"{len(points)} points; {MIN_POINTS} are needed")
     hosts = numpy.array([point[0] for point in points], dtype=float)
     values = numpy.array([point[1] for point in points], dtype=float)
     if (values > 0.0).all():
--- a/tools/demo.py
+++ b/tools/demo.py
@@ -1,4 +1,4 @@
-"""Run the whole path on loopback: stand-ins, three daemons, a load, a planned stop."""
+"""Runs a demo on loopback: stand-ins and three daemons under load, with a stop."""
 
 import asyncio
 import pathlib
@@ -22,12 +22,13 @@
 from gypsumusher_standins import expected_text
 
 MIX_PATH = pathlib.Path(__file__).with_name("demo_load.yaml")
-# Times the stand-ins' own speed: long bundles then take seconds, not a minute.
+# Factor on the default speed of engine stand-ins, so that the longest requests take
+# seconds instead of a minute.
 ENGINE_SPEED = 2
 BULK = {"rank": 2, "first_token_s": 30.0, "between_tokens_s": 0.5, "deadline_s": 600}
 LETTER_MODELS = merge_nested(DEPLOYMENT, {"classes": {"bulk": BULK}, "shifting": True})
-# Its engines take an order with any fencing number; their own limit on an open
-# connection is what keeps a stale order out.
+# The engines of this deployment ignore fencing numbers; their own time limit on an open
+# connection keeps stale orders out instead.
 USHER_LLM = merge_nested(LETTER_MODELS, {"model": "usher-13b", "fencing": "ignores"})
 DOCUMENT = {
     "deployments": {"letter-models": LETTER_MODELS, "usher-llm": USHER_LLM},
@@ -37,8 +38,8 @@
 HOSTS = (("host-a", "suwon-a"), ("host-b", "suwon-a"), ("host-c", "suwon-b"))
 
 
-class System:
-    """The demo's processes, by kind."""
+class DemoProcesses:
+    """The processes of the demo by kind."""
 
     def __init__(self, hosts, engines, services, platform):
         self.hosts = hosts
@@ -47,22 +48,22 @@
         self.platform = platform
 
 
-def say(text):
-    """Print a line at once."""
+def print_now(text):
+    """Print a line and flush the output."""
     print(text, flush=True)
 
 
 async def start_system(fleet):
-    """Start everything and put the configuration in force.
+    """Start all processes and submit the configuration.
 
     Parameters
     ----------
     fleet : Fleet
-        Empty.
+        A fleet without processes.
 
     Returns
     -------
-    System
+    DemoProcesses
     """
     platform = await fleet.start_platform()
     engines = [
@@ -78,62 +79,62 @@
     ]
     services = [await fleet.start_service("counter-1")]
     hosts = [await fleet.start_host(name, zone=zone) for name, zone in HOSTS]
-    await put_configuration(hosts[0])
+    await submit_configuration(hosts[0])
     await fleet.wait_until_served(hosts, len(engines))
-    return System(hosts, engines, services, platform)
+    return DemoProcesses(hosts, engines, services, platform)
 
 
-async def put_configuration(host):
-    """Put the document in force by a patch against number 0, as an operator does."""
+async def submit_configuration(host):
+    """Submit the configuration as a patch on number 0, as an operator does."""
     access = Access((host.addresses["operators"],), OPERATOR_TOKEN, ())
     client = OperatorsClient(access)
     await client.start()
     try:
-        answer = await send_patch(client, 0, DOCUMENT, "demo", "first configuration")
-        say(f"configuration number {body_of(answer)['number']} is accepted")
+        response = await send_patch(client, 0, DOCUMENT, "demo", "first configuration")
+        print_now(f"configuration number {body_of(response)['number']} is accepted")
     finally:
         await client.close()
 
 
-async def count_runs(system):
-    """Return how often endpoints ran each content, and the engines' role changes."""
+async def count_runs(processes):
+    """Return how often endpoints ran each prompt or body, and the role changes."""
     runs = {}
     role_changes = 0
-    for engine in system.engines:
+    for engine in processes.engines:
         counters = await engine.counters()
         add_counts(runs, counters["prompts"])
         for order in counters["orders"]:
             role_changes += "role" in order["goal"]
-    for service in system.services:
+    for service in processes.services:
         add_counts(runs, (await service.counters())["bodies"])
     return runs, role_changes
 
 
 def add_counts(total, counts):
-    """Add counts to a total."""
+    """Add counts by name to a dict of totals."""
     for name, count in counts.items():
         total[name] = total.get(name, 0) + count
 
 
-async def stop_in_mid_load(host, wait_s):
-    """Stop one host in a planned way while callers use it; return its exit code."""
+async def stop_under_load(host, wait_s):
+    """Stop a host by SIGTERM while callers use it; return its exit code."""
     await asyncio.sleep(wait_s)
-    say(f"stopping {host.name} in a planned way, under load")
+    print_now(f"stopping {host.name} under load (SIGTERM)")
     exit_code = await host.terminate_and_wait()
-    say(f"{host.name} has stopped")
+    print_now(f"{host.name} has stopped")
     return exit_code
 
 
-async def stop_system(system):
-    """Stop everything in a planned way; return the names of what did not end well."""
+async def stop_system(processes):
+    """Stop all processes by SIGTERM; return those that failed, with exit codes."""
     failed = []
     for process in [
-        *system.hosts,
-        *system.engines,
-        *system.services,
-        system.platform,
+        *processes.hosts,
+        *processes.engines,
+        *processes.services,
+        processes.platform,
     ]:
-        # The host that stopped under load has an exit code already.
+        # The host that was stopped under load has exited already.
         exit_code = process.exit_code()
         if exit_code is None:
             exit_code = await process.terminate_and_wait()
@@ -148,42 +149,44 @@
     Parameters
     ----------
     mix : Mix
-        The load.
+        The load to run.
     expected : callable
-        The one right text of a prompt and a number of output tokens.
+        Returns the expected text for a prompt and a number of output tokens.
 
     Returns
     -------
     int
-        0 when every answer was whole and every process ended well, else 1.
+        0 if every response was correct and every process exited with 0, else 1.
     """
     async with Fleet() as fleet:
-        say("starting the platform, three engines, a plain service and three daemons")
-        system = await start_system(fleet)
-        addresses = tuple(host.addresses["callers"] for host in system.hosts)
-        say(
+        print_now(
+            "starting the platform, three engines, a plain service and three daemons"
+        )
+        processes = await start_system(fleet)
+        addresses = tuple(host.addresses["callers"] for host in processes.hosts)
+        print_now(
             f"load: {mix.duration_s:g} s, seed {mix.seed}, hosts {', '.join(addresses)}"
         )
         loop = asyncio.get_running_loop()
         started_s = loop.time()
         stopping = asyncio.ensure_future(
-            stop_in_mid_load(system.hosts[-1], mix.duration_s / 2)
+            stop_under_load(processes.hosts[-1], mix.duration_s / 2)
         )
         outcomes = await run_load(
             mix,
             LoadOptions(addresses, "suwon-a", expected),
-            lambda progress: say("  " + format_progress(progress)),
+            lambda progress: print_now("  " + format_progress(progress)),
         )
         elapsed_s = loop.time() - started_s
         await stopping
-        runs, role_changes = await count_runs(system)
-        say("stopping every process in a planned way")
-        failed = await stop_system(system)
+        runs, role_changes = await count_runs(processes)
+        print_now("stopping all processes (SIGTERM)")
+        failed = await stop_system(processes)
     report = summarize(mix, mark_doubled(outcomes, runs), elapsed_s, role_changes)
-    say("")
-    say(format_table(report))
+    print_now("")
+    print_now(format_table(report))
     for name in failed:
-        say(f"did not stop in a planned way: {name}")
+        print_now(f"process failed to stop: {name}")
     return 1 if failed or report.faults() else 0
 
 
--- a/tools/fuzz.py
+++ b/tools/fuzz.py
@@ -1,4 +1,4 @@
-"""Run the workspace's hypothesis state machines long and with a fresh seed."""
+"""Runs the hypothesis state machines of all tests for long, with a random seed."""
 
 import argparse
 import importlib.util
@@ -12,20 +12,20 @@
 from hypothesis.stateful import RuleBasedStateMachine, run_state_machine_as_test
 
 ROOT = pathlib.Path(__file__).resolve().parent.parent
-# CI runs 100 to 200 examples a machine; these take minutes a machine instead.
+# CI runs 100 to 200 examples per machine; this many take minutes per machine.
 DEFAULT_EXAMPLES = 3_000
 SEED_LIMIT = 2**32
 
 
 def find_machines(root, only):
-    """Yield the state machines that stand in the workspace's test files.
+    """Yield the state machines in the test files of the workspace.
 
     Parameters
     ----------
     root : pathlib.Path
         Root of the workspace.
     only : str
-        Part of the machine's name; empty for all.
+        Substring of the names to select; empty for all.
 
     Yields
     ------
@@ -48,24 +48,24 @@
 
 
 def run_machine(machine, seed, examples, steps):
-    """Run one state machine and print what it found.
+    """Run one state machine and print its failures.
 
     Parameters
     ----------
     machine : type
         The state machine.
     seed : int
-        The run's seed.
+        Seed of the run.
     examples : int
-        Examples to run.
+        Number of examples.
     steps : int or None
-        Steps in each; None for as many as the machine's own test takes. Its checks
-        may hold for that length only (a history that is cut after so many entries).
+        Steps per example; None for the number that the machine's own test uses. Its
+        checks may hold for that number only, e.g. if a history has a limited length.
 
     Returns
     -------
     bool
-        True when no example failed.
+        True if no example failed.
     """
     print(f"event=fuzz machine={machine.__name__} seed={seed}", flush=True)
     if steps is None:
@@ -91,10 +91,12 @@
 def main(arguments=None):
     """Run the machines and return 1 if any failed, 2 if none was found."""
     parser = argparse.ArgumentParser(description=__doc__)
-    parser.add_argument("--seed", type=int, help="repeat a run by its seed")
+    parser.add_argument("--seed", type=int, help="repeat the run with this seed")
     parser.add_argument("--examples", type=int, default=DEFAULT_EXAMPLES)
-    parser.add_argument("--steps", type=int, help="default: the machine's own")
-    parser.add_argument("--only", default="", help="part of a machine's name")
+    parser.add_argument(
+        "--steps", type=int, help="default: as in the machine's own test"
+    )
+    parser.add_argument("--only", default="", help="substring of the machines' names")
     options = parser.parse_args(arguments)
     seed = options.seed
     if seed is None:
--- a/tools/platform_samples.py
+++ b/tools/platform_samples.py
@@ -1,4 +1,4 @@
-"""What operators and endpoints write into the platform's store, for tests and soak."""
+"""Sample objects of the platform store, for tests and for the soak run."""
 
 import random
 import string
@@ -14,7 +14,7 @@
 
 
 def sample_configuration(version, *routes):
-    """Return a configuration as operators write it."""
+    """Return a configuration whose routes have the given fields."""
     items = []
     for number, fields in enumerate(routes):
         route = {
@@ -37,15 +37,15 @@
 
 
 def sample_routes(count, fields, seed=1):
-    """Return routes with names as operators choose them, which hardly repeat.
+    """Return routes with random names, hosts and paths.
 
-    Routes that differ by a number alone pack to a twentieth of their size, and an
-    answer that holds a thousand of them would pass as a small one.
+    Routes that differ only by a number compress to a twentieth of their size, so that a
+    response with a thousand of them would count as a small one.
     """
-    draw = random.Random(seed)
+    rng = random.Random(seed)
 
     def word(length):
-        return "".join(draw.choices(string.ascii_lowercase, k=length))
+        return "".join(rng.choices(string.ascii_lowercase, k=length))
 
     routes = []
     for _ in range(count):
@@ -56,7 +56,7 @@
 
 
 def sample_endpoint_entry(address, state="ready", sequence=1, **fields):
-    """Return an endpoint's entry as it writes it."""
+    """Return the entry that an endpoint writes for itself."""
     return {
         "service": "svc",
         "addr": address,
--- a/tools/processes.py
+++ b/tools/processes.py
@@ -1,4 +1,4 @@
-"""Child processes of tests and of the demo: started, paused, killed by their id."""
+"""Starts, pauses and kills child processes of tests and of the demo."""
 
 import asyncio
 import os
@@ -7,6 +7,7 @@
 import socket
 import subprocess
 
+# Start of the log line with which a process reports its addresses.
 READY_PREFIX = "event=ready"
 READY_TIMEOUT_S = 30.0
 EXIT_TIMEOUT_S = 30.0
@@ -15,7 +16,7 @@
 
 
 class ProcessFailed(Exception):
-    """A child that ended, or did not become ready, when it should have."""
+    """A child process exited early, or did not become ready or exit in time."""
 
 
 class Process:
@@ -24,11 +25,11 @@
     Parameters
     ----------
     name : str
-        How messages call it.
+        Name of the process in error messages.
     argv : list of str
-        Its command line.
+        Command line.
     log_path : pathlib.Path
-        File that takes its output.
+        File to which standard output and standard error are appended.
     """
 
     def __init__(self, name, argv, log_path):
@@ -39,7 +40,7 @@
         self._child = None
 
     def spawn(self):
-        """Start it without waiting for anything."""
+        """Start the process without waiting until it is ready."""
         environment = {**os.environ, "PYTHONUNBUFFERED": "1"}
         with open(self.log_path, "ab") as log:
             self._child = subprocess.Popen(
@@ -51,15 +52,20 @@
             )
 
     async def start(self):
-        """Start it and wait for its ready line; the addresses come from there."""
+        """Start the process, wait for its ready line and read the addresses from it."""
         self.spawn()
         loop = asyncio.get_running_loop()
-        end_s = loop.time() + READY_TIMEOUT_S
+        deadline_s = loop.time() + READY_TIMEOUT_S
         while not self._read_ready_line():
             if self.exit_code() is not None:
-                raise ProcessFailed(f"{self.name} ended:\n{self.log_text()}")
-            if loop.time() > end_s:
-                raise ProcessFailed(f"{self.name} isn't ready:\n{self.log_text()}")
+                raise ProcessFailed(
+                    f"{self.name} exited before it was ready:\n{self.log_text()}"
+                )
+            if loop.time() > deadline_s:
+                raise ProcessFailed(
+                    f"{self.name} not ready within {READY_TIMEOUT_S:g} s:\n"
+                    f"{self.log_text()}"
+                )
             await asyncio.sleep(POLL_S)
 
     def _read_ready_line(self):
@@ -72,7 +78,7 @@
 
     @property
     def is_started(self):
-        """Whether it has been started, whatever has become of it."""
+        """Whether the process was ever started, running or not."""
         return self._child is not None
 
     @property
@@ -81,47 +87,50 @@
         return self._child.pid
 
     def exit_code(self):
-        """Return the exit code, or None while it runs."""
+        """Return the exit code, or None while the process runs."""
         return self._child.poll()
 
     def log_text(self):
-        """Return everything that it has written so far."""
+        """Return everything that the process has written so far."""
         return self.log_path.read_text(errors="replace")
 
     def kill(self):
-        """Kill it without any chance to finish."""
+        """Send SIGKILL and wait for the exit."""
         self._signal(signal.SIGKILL)
         self._child.wait()
 
     def pause(self):
-        """Stop it where it stands, as a frozen machine would."""
+        """Send SIGSTOP, which pauses the process like a frozen machine."""
         self._signal(signal.SIGSTOP)
 
     def resume(self):
-        """Let it go on after a pause."""
+        """Send SIGCONT, which ends a pause."""
         self._signal(signal.SIGCONT)
 
     def terminate(self):
-        """Ask it for a planned stop."""
+        """Send SIGTERM, which asks for a planned stop."""
         self._signal(signal.SIGTERM)
 
     async def wait_for_exit(self):
-        """Wait until it has ended; return its exit code."""
+        """Wait until the process has exited, and return the exit code."""
         loop = asyncio.get_running_loop()
-        end_s = loop.time() + EXIT_TIMEOUT_S
+        deadline_s = loop.time() + EXIT_TIMEOUT_S
         while self.exit_code() is None:
-            if loop.time() > end_s:
-                raise ProcessFailed(f"{self.name} doesn't end:\n{self.log_text()}")
+            if loop.time() > deadline_s:
+                raise ProcessFailed(
+                    f"{self.name} did not exit within {EXIT_TIMEOUT_S:g} s:\n"
+                    f"{self.log_text()}"
+                )
             await asyncio.sleep(POLL_S)
         return self.exit_code()
 
     async def terminate_and_wait(self):
-        """Ask it for a planned stop and wait for it; return its exit code."""
+        """Send SIGTERM, wait for the exit and return the exit code."""
         self.terminate()
         return await self.wait_for_exit()
 
     def destroy(self):
-        """Make sure that it has ended, paused or not."""
+        """Kill the process if it still runs, paused or not."""
         if self.is_started and self.exit_code() is None:
             self.kill()
 
@@ -131,20 +140,20 @@
 
 
 def free_ports(ip, count):
-    """Return ports that are free on an address, for TCP and for datagrams."""
-    found, kept = [], []
-    while len(found) < count:
+    """Return ports that are free on an address, for both TCP and UDP."""
+    ports, sockets = [], []
+    while len(ports) < count:
         stream = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         stream.bind((ip, 0))
-        kept.append(stream)
+        sockets.append(stream)
         datagram = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-        kept.append(datagram)
+        sockets.append(datagram)
         port = stream.getsockname()[1]
         try:
             datagram.bind((ip, port))
         except OSError:
             continue
-        found.append(port)
-    for each in kept:
-        each.close()
-    return found
+        ports.append(port)
+    for opened in sockets:
+        opened.close()
+    return ports
--- a/tools/proxies.py
+++ b/tools/proxies.py
@@ -1,4 +1,4 @@
-"""Loopback proxies that delay, hold back, or reset what passes through them."""
+"""TCP proxies on loopback that delay, block, throttle or reset connections."""
 
 import asyncio
 import socket
@@ -7,29 +7,29 @@
 __all__ = ["OrderProxy", "Proxy"]
 
 READ_BYTES = 65_536
-# What a packet of a network holds, in bytes. A piece on loopback may hold forty times
-# as much, and a reader that takes one piece for a whole message goes unseen there.
+# Payload of a network packet. A read on loopback may return forty times as much, which
+# hides a reader that takes one read for a whole message.
 SEGMENT_BYTES = 1448
 ORDER_PREFIX = b"POST /orders"
-# Closing a socket with this option drops what is under way and sends a reset.
-RESET = struct.pack("ii", 1, 0)
+# SO_LINGER value (on, 0 s): closing the socket discards unsent data and sends a reset.
+LINGER_RESET = struct.pack("ii", 1, 0)
 
 
 class Proxy:
-    """Connections to one address, and what befalls them.
+    """Forwards connections to one address, with the faults that are set.
 
     Attributes
     ----------
     target : str
-        ``ip:port`` to which connections lead; may change between connections.
+        ``ip:port`` to connect to; a change takes effect for new connections.
     delay_s : float
-        How long each piece is held, in seconds.
+        Delay of each read, in seconds.
     bytes_per_s : float or None
-        What the link carries one way, all connections together; None for no limit.
-        A limited link passes packets instead of whatever has come.
+        Bandwidth of each direction, shared by all connections; None for no limit.
+        A limited link forwards data packet by packet, not read by read.
     upstream_blocked, downstream_blocked : bool
-        Whether nothing passes to the target, or from it, until it may again. Held
-        pieces aren't lost, as packets aren't that TCP sends again.
+        Whether data to the target, or from it, is held back until unblocked. As with
+        TCP retransmission, data that is held back isn't lost.
     """
 
     def __init__(self, target):
@@ -39,12 +39,12 @@
         self.bytes_per_s = None
         self.upstream_blocked = False
         self.downstream_blocked = False
-        self._pairs = set()
+        self._writers = set()
         self._tasks = set()
         self._server = None
-        self._changed = asyncio.Event()
-        # When the link is through with what it carries, by direction.
-        self._free_s = {}
+        self._block_changed = asyncio.Event()
+        # When the link will have sent all accepted packets, by direction.
+        self._idle_at_s = {}
 
     async def start(self):
         """Listen on a free port; return the address."""
@@ -54,7 +54,7 @@
         return self.address
 
     async def close(self):
-        """Stop, and end all connections."""
+        """Stop listening, and reset all connections."""
         self._server.close()
         self.reset()
         for task in list(self._tasks):
@@ -62,99 +62,99 @@
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
     def set_blocked(self, upstream, downstream):
-        """Hold back one direction, both or none."""
+        """Block or unblock the two directions."""
         self.upstream_blocked, self.downstream_blocked = upstream, downstream
-        self._changed.set()
-        self._changed = asyncio.Event()
+        self._block_changed.set()
+        self._block_changed = asyncio.Event()
 
     def reset(self):
         """Reset all open connections on both sides."""
-        for writer in list(self._pairs):
+        for writer in list(self._writers):
             _reset(writer)
 
     async def _serve(self, reader, writer):
         self._tasks.add(asyncio.current_task())
-        self._pairs.add(writer)
+        self._writers.add(writer)
         try:
-            await self._until_free("upstream_blocked", b"")
+            await self._wait_while_blocked("upstream_blocked", b"")
             ip, _, port = self.target.rpartition(":")
-            back_reader, back_writer = await asyncio.open_connection(ip, int(port))
+            target_reader, target_writer = await asyncio.open_connection(ip, int(port))
         except OSError:
-            # Nobody listens there: the caller of the proxy sees a reset.
+            # Nothing listens at the target: the client of the proxy sees a reset.
             _reset(writer)
             self._forget(writer)
             return
-        self._pairs.add(back_writer)
+        self._writers.add(target_writer)
         try:
             await asyncio.gather(
-                self._pump(reader, back_writer, "upstream_blocked"),
-                self._pump(back_reader, writer, "downstream_blocked"),
+                self._forward(reader, target_writer, "upstream_blocked"),
+                self._forward(target_reader, writer, "downstream_blocked"),
             )
         except asyncio.CancelledError:
-            # The proxy is closed; the library would report the cancelled task.
+            # `close` cancels this task; asyncio would log the cancellation.
             return
         finally:
-            for side in (writer, back_writer):
+            for side in (writer, target_writer):
                 side.close()
                 self._forget(side)
 
     def _forget(self, writer):
-        self._pairs.discard(writer)
+        self._writers.discard(writer)
         self._tasks.discard(asyncio.current_task())
 
-    async def _pump(self, reader, writer, direction):
+    async def _forward(self, reader, writer, direction):
+        """Copy data from one side to the other until its end."""
         try:
             while True:
                 data = await reader.read(READ_BYTES)
                 if self.delay_s:
                     await asyncio.sleep(self.delay_s)
-                await self._until_free(direction, data)
+                await self._wait_while_blocked(direction, data)
                 if not data:
                     break
-                await self._pass_on(data, writer, direction)
+                await self._write(data, writer, direction)
             if writer.can_write_eof():
                 writer.write_eof()
         except OSError:
-            # One side was reset, so that the other one has to be.
+            # One side was reset, so the other one is reset as well.
             writer.transport.abort()
 
-    async def _pass_on(self, data, writer, direction):
-        """Write what has come: at once, or packet by packet as the link carries it."""
-        size = len(data) if self.bytes_per_s is None else SEGMENT_BYTES
-        for begin in range(0, len(data), size):
-            piece = data[begin : begin + size]
+    async def _write(self, data, writer, direction):
+        """Write data at once, or in packets at the rate of a limited link."""
+        packet_bytes = len(data) if self.bytes_per_s is None else SEGMENT_BYTES
+        for begin in range(0, len(data), packet_bytes):
+            packet = data[begin : begin + packet_bytes]
             if self.bytes_per_s is not None:
-                await self._carry(direction, len(piece))
-            writer.write(piece)
+                await self._wait_for_bandwidth(direction, len(packet))
+            writer.write(packet)
             await writer.drain()
 
-    async def _carry(self, direction, size):
-        """Wait until the link has carried a packet, behind those before it."""
+    async def _wait_for_bandwidth(self, direction, size_bytes):
+        """Wait until the link has sent a packet, after all packets before it."""
         now_s = asyncio.get_running_loop().time()
-        begins_s = max(now_s, self._free_s.get(direction, now_s))
-        ends_s = begins_s + size / self.bytes_per_s
-        self._free_s[direction] = ends_s
+        begins_s = max(now_s, self._idle_at_s.get(direction, now_s))
+        ends_s = begins_s + size_bytes / self.bytes_per_s
+        self._idle_at_s[direction] = ends_s
         await asyncio.sleep(ends_s - now_s)
 
-    async def _until_free(self, direction, data):
-        """Wait until a piece may pass in a direction."""
+    async def _wait_while_blocked(self, direction, data):
+        """Wait until data may pass in a direction."""
         while getattr(self, direction):
-            await self._changed.wait()
+            await self._block_changed.wait()
 
 
 class OrderProxy(Proxy):
-    """Holds the bytes of orders to one engine while told to, and nothing else.
+    """Delays stage orders to one engine while told to, and nothing else.
 
-    The engine's side of each connection is opened as the daemon's side is, so that
-    the engine sees a held order as one from a steward that was paused after it had
-    connected.
+    The connection to the engine is opened at once, so the engine sees a held order as
+    one of a steward that was paused after it had connected.
 
     Attributes
     ----------
     holds : bool
-        Whether orders that come now are held.
+        Whether orders that arrive now are held.
     held, released : asyncio.Event
-        Set when an order is held; to be set to let it go on.
+        ``held`` is set when an order is held; setting ``released`` forwards it.
     """
 
     def __init__(self, target):
@@ -163,7 +163,7 @@
         self.held = asyncio.Event()
         self.released = asyncio.Event()
 
-    async def _until_free(self, direction, data):
+    async def _wait_while_blocked(self, direction, data):
         if (
             self.holds_orders
             and direction == "upstream_blocked"
@@ -174,8 +174,8 @@
 
 
 def _reset(writer):
-    """Reset a connection: its peer sees an error, not an end."""
+    """Reset a connection, so that its peer sees an error, not the end of data."""
     sock = writer.get_extra_info("socket")
     if sock is not None and sock.fileno() >= 0:
-        sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
     writer.transport.abort()
--- a/tools/recovery.py
+++ b/tools/recovery.py
@@ -1,4 +1,4 @@
-"""Measures what callers see of each failure under a steady load."""
+"""Measures the effect of failures on callers under a steady load."""
 
 import asyncio
 import json
@@ -13,8 +13,9 @@
 from gypsumusher_standins import expected_text
 
 OUTPUT = pathlib.Path("build/recovery.jsonl")
+# When a failure begins after the start of the load, and how long it lasts.
 FAILURE_AT_S = 3.0
-FAILURE_LASTS_S = 4.0
+FAILURE_DURATION_S = 4.0
 HOSTS = 3
 ENGINES = 3
 MIX = {
@@ -47,7 +48,7 @@
 }
 
 
-class System:
+class RunProcesses:
     """The processes of one run."""
 
     def __init__(self, hosts, engines, platform):
@@ -56,71 +57,71 @@
         self.platform = platform
 
 
-async def nothing(system):
-    """Let everything run."""
+async def nothing(processes):
+    """Inject no failure."""
 
 
-async def host_killed(system):
+async def host_killed(processes):
     """Kill one entry host."""
-    system.hosts[0].kill()
+    processes.hosts[0].kill()
 
 
-async def two_hosts_killed(system):
+async def two_hosts_killed(processes):
     """Kill two of the three entry hosts, one after the other."""
-    system.hosts[0].kill()
-    await asyncio.sleep(FAILURE_LASTS_S / 2)
-    system.hosts[1].kill()
+    processes.hosts[0].kill()
+    await asyncio.sleep(FAILURE_DURATION_S / 2)
+    processes.hosts[1].kill()
 
 
-async def host_paused(system):
-    """Pause one entry host, and let it go on."""
-    system.hosts[0].pause()
-    await asyncio.sleep(FAILURE_LASTS_S)
-    system.hosts[0].resume()
+async def host_paused(processes):
+    """Pause one entry host, then resume it."""
+    processes.hosts[0].pause()
+    await asyncio.sleep(FAILURE_DURATION_S)
+    processes.hosts[0].resume()
 
 
-async def host_stopped(system):
-    """Stop one entry host in a planned way."""
-    await system.hosts[0].terminate_and_wait()
+async def host_stopped(processes):
+    """Stop one entry host by SIGTERM."""
+    await processes.hosts[0].terminate_and_wait()
 
 
-async def engine_killed(system):
+async def engine_killed(processes):
     """Kill one engine."""
-    system.engines[0].kill()
+    processes.engines[0].kill()
 
 
-async def engine_paused(system):
-    """Pause one engine, and let it go on."""
-    system.engines[0].pause()
-    await asyncio.sleep(FAILURE_LASTS_S)
-    system.engines[0].resume()
+async def engine_paused(processes):
+    """Pause one engine, then resume it."""
+    processes.engines[0].pause()
+    await asyncio.sleep(FAILURE_DURATION_S)
+    processes.engines[0].resume()
 
 
-async def platform_down(system):
-    """Take the platform's store down for a while."""
-    await system.platform.control(outage=True)
-    await asyncio.sleep(FAILURE_LASTS_S)
-    await system.platform.control(outage=False)
+async def platform_down(processes):
+    """Take the platform store down for `FAILURE_DURATION_S`."""
+    await processes.platform.control(outage=True)
+    await asyncio.sleep(FAILURE_DURATION_S)
+    await processes.platform.control(outage=False)
 
 
-async def platform_slow(system):
-    """Make each call to the platform take long."""
-    await system.platform.control(latency_s=0.3)
-    await asyncio.sleep(FAILURE_LASTS_S)
-    await system.platform.control(latency_s=0)
+async def platform_slow(processes):
+    """Add 0.3 s of latency to each call to the platform."""
+    await processes.platform.control(latency_s=0.3)
+    await asyncio.sleep(FAILURE_DURATION_S)
+    await processes.platform.control(latency_s=0)
 
 
-async def answers_lost(system):
-    """Lose answers to writes that took effect."""
-    await system.platform.control(lose_answers=20)
+async def answers_lost(processes):
+    """Lose the responses to 20 platform writes that took effect."""
+    await processes.platform.control(lose_answers=20)
 
 
-async def host_and_platform(system):
+async def host_and_platform(processes):
     """Kill one entry host while the platform is down."""
-    await system.platform.control(outage=True)
-    system.hosts[0].kill()
-    await asyncio.sleep(FAILURE_LASTS_S)
-    await system.platform.control(outage=False)
+    await processes.platform.control(outage=True)
+    processes.hosts[0].kill()
+    await asyncio.sleep(FAILURE_DURATION_S)
+    await processes.platform.control(outage=False)
 
 
 FAILURES = (
@@ -139,17 +140,17 @@
 
 
 async def run_one(failure):
-    """Return the figures of one failure under the load.
+    """Measure one failure under the load.
 
     Parameters
     ----------
     failure : coroutine function
-        Brings the failure about.
+        Injects the failure into the processes.
 
     Returns
     -------
     dict
-        Counts of outcomes, the worst wait for a first token, calls to the platform.
+        Counts of outcomes, the longest time to a first token, calls to the platform.
     """
     mix = check_mix(MIX)
     async with Fleet() as fleet:
@@ -160,16 +161,16 @@
         engines = [await fleet.start_engine(f"e{n}", speed=4) for n in range(ENGINES)]
         hosts = [await fleet.start_host(f"h{n}") for n in range(HOSTS)]
         await fleet.wait_until_served(hosts, ENGINES)
-        system = System(hosts, engines, platform)
+        processes = RunProcesses(hosts, engines, platform)
 
-        async def fail_later():
+        async def inject_failure():
             await asyncio.sleep(FAILURE_AT_S)
-            await failure(system)
+            await failure(processes)
 
-        failing = asyncio.ensure_future(fail_later())
+        injection = asyncio.ensure_future(inject_failure())
         addresses = tuple(host.addresses["callers"] for host in hosts)
         outcomes = await run_load(mix, LoadOptions(addresses, "", expected_text))
-        await failing
+        await injection
         runs = {}
         for engine in engines:
             if engine.exit_code() is None:
@@ -179,7 +180,7 @@
 
 
 def summarize(failure, outcomes, calls):
-    """Return the figures of one run."""
+    """Return the result of one run as a dict."""
     results = {}
     reasons = {}
     for outcome in outcomes:
@@ -187,7 +188,9 @@
         if outcome.result != "served":
             label = f"{outcome.result}:{outcome.reason}:{outcome.run}"
             add_counts(reasons, {label: 1})
-    waits = [o.first_token_s for o in outcomes if o.first_token_s is not None]
+    first_token_times_s = [
+        o.first_token_s for o in outcomes if o.first_token_s is not None
+    ]
     total_calls = {}
     for client, counts in calls.items():
         if client.startswith("h"):
@@ -199,13 +202,13 @@
         "on_time": sum(o.on_time for o in outcomes),
         "resumed": sum(o.resumes for o in outcomes),
         "reasons": reasons,
-        "worst_first_token_s": round(max(waits), 3),
+        "worst_first_token_s": round(max(first_token_times_s), 3),
         "platform_calls": total_calls,
     }
 
 
 def main():
-    """Run the failures that are named, or all, and print a JSON line for each."""
+    """Run the failures named on the command line, or all; print a JSON line each."""
     names = set(sys.argv[1:])
     OUTPUT.parent.mkdir(exist_ok=True)
     with OUTPUT.open("w") as output:
--- a/tools/relay_bench.py
+++ b/tools/relay_bench.py
@@ -1,4 +1,4 @@
-"""Wall-clock bench: what the daemon adds to calling an engine directly, in one run."""
+"""Wall-clock bench of the overhead of the daemon over calling an engine directly."""
 
 import asyncio
 import json
@@ -9,11 +9,13 @@
 
 from testkit import DEPLOYMENT, Fleet
 
-ONE_BY_ONE = 200
+# Requests in sequence for the time to the first token.
+SEQUENTIAL_REQUESTS = 200
+# Concurrent streams for the throughput, and the tokens of each.
 STREAMS = 32
 STREAM_TOKENS = 1500
 
-# An engine whose own time doesn't show beside the daemon's.
+# An engine so fast that its own time is negligible next to the daemon's.
 FAST_ENGINE = {
     "slots": 256,
     "speed": 1,
@@ -25,13 +27,13 @@
 
 
 def cpu_s(pid):
-    """Return the processor time that a process has used, in seconds."""
+    """Return the CPU time that a process has used, in seconds."""
     fields = pathlib.Path(f"/proc/{pid}/stat").read_text().rsplit(")", 1)[1].split()
     return (int(fields[11]) + int(fields[12])) / TICKS_PER_S
 
 
-async def first_token_s(session, address, number):
-    """Return the time from sending a request to the first event of its answer."""
+async def measure_request(session, address, number):
+    """Return the seconds from sending a request to the first event of its response."""
     body = {
         "model": "letter-models",
         "prompt": f"short check {number}",
@@ -41,17 +43,17 @@
     headers = {"X-Request-Id": f"bench-{number}"}
     began_s = time.perf_counter()
     url = f"http://{address}/v1/completions"
-    async with session.post(url, json=body, headers=headers) as answer:
-        await answer.content.readuntil(b"\n\n")
+    async with session.post(url, json=body, headers=headers) as response:
+        await response.content.readuntil(b"\n\n")
         took_s = time.perf_counter() - began_s
-        await answer.read()
+        await response.read()
     return took_s
 
 
-async def stream_all(session, address, label):
-    """Run many streams at once; return the events read and the seconds taken."""
+async def run_streams(session, address, label):
+    """Run `STREAMS` streams concurrently; return the events read and the seconds."""
 
-    async def one(number):
+    async def run_stream(number):
         body = {
             "model": "letter-models",
             "prompt": f"{label} {number}",
@@ -60,28 +62,28 @@
         }
         headers = {"X-Request-Id": f"{label}-{number}"}
         url = f"http://{address}/v1/completions"
-        async with session.post(url, json=body, headers=headers) as answer:
-            raw = await answer.read()
+        async with session.post(url, json=body, headers=headers) as response:
+            raw = await response.read()
         assert raw.rstrip().endswith(b"[DONE]")
         return raw.count(b"\n\n")
 
     began_s = time.perf_counter()
-    events = await asyncio.gather(*(one(number) for number in range(STREAMS)))
+    events = await asyncio.gather(*(run_stream(number) for number in range(STREAMS)))
     return sum(events), time.perf_counter() - began_s
 
 
-async def measure_first_token(fleet, addresses):
-    """Return the median first token of each address, asked in turn."""
-    waits = {name: [] for name in addresses}
-    for number in range(ONE_BY_ONE):
+async def median_first_token(fleet, addresses):
+    """Return the median seconds to the first token, by address, asked in turn."""
+    times_s = {name: [] for name in addresses}
+    for number in range(SEQUENTIAL_REQUESTS):
         for name, address in addresses.items():
-            took_s = await first_token_s(fleet.session, address, f"{name}-{number}")
-            waits[name].append(took_s)
-    return {name: statistics.median(values) for name, values in waits.items()}
+            took_s = await measure_request(fleet.session, address, f"{name}-{number}")
+            times_s[name].append(took_s)
+    return {name: statistics.median(values) for name, values in times_s.items()}
 
 
 async def measure():
-    """Return the figures of one run."""
+    """Run the bench and return its figures."""
     async with Fleet() as fleet:
         await fleet.start_platform()
         await fleet.put_config(
@@ -91,15 +93,15 @@
         host = await fleet.start_host("h1")
         await fleet.wait_until_served([host], 1)
         addresses = {"direct": engine.address, "daemon": host.addresses["callers"]}
-        first = await measure_first_token(fleet, addresses)
-        direct_events, direct_s = await stream_all(
+        first = await median_first_token(fleet, addresses)
+        direct_events, direct_s = await run_streams(
             fleet.session, engine.address, "direct"
         )
-        used_s = cpu_s(host.pid)
-        events, took_s = await stream_all(
+        used_cpu_s = cpu_s(host.pid)
+        events, took_s = await run_streams(
             fleet.session, host.addresses["callers"], "daemon"
         )
-        used_s = cpu_s(host.pid) - used_s
+        used_cpu_s = cpu_s(host.pid) - used_cpu_s
         return {
             "first_token_direct_s": round(first["direct"], 6),
             "first_token_daemon_s": round(first["daemon"], 6),
@@ -107,7 +109,7 @@
             "events_per_s_direct": round(direct_events / direct_s),
             "events_per_s_daemon": round(events / took_s),
             "events_ratio": round((events / took_s) / (direct_events / direct_s), 3),
-            "daemon_events_per_core_s": round(events / used_s),
+            "daemon_events_per_core_s": round(events / used_cpu_s),
         }
 
 
--- a/tools/run_tests.py
+++ b/tools/run_tests.py
@@ -1,4 +1,4 @@
-"""Run the test suite, passing over just the tests that KNOWN-RED.txt names."""
+"""Runs the test suite without the tests that KNOWN-RED.txt lists."""
 
 import pathlib
 import sys
@@ -6,16 +6,16 @@
 import pytest
 
 ROOT = pathlib.Path(__file__).resolve().parent.parent
-KNOWN_RED_LIMIT = 3
+KNOWN_RED_MAX = 3
 
 
 def read_known_red(path):
-    """Return the test ids that stand first on the lines of the known-red list.
+    """Return the test ids of the list of known failures.
 
     Parameters
     ----------
     path : pathlib.Path
-        File with one line a test: ``test | command and seed | seen | cause | issue``.
+        File with one line per test: ``test | command and seed | seen | cause | issue``.
 
     Returns
     -------
@@ -25,12 +25,13 @@
     Raises
     ------
     SystemExit
-        If there are more lines than the project allows itself.
+        If the list has more than `KNOWN_RED_MAX` lines.
     """
+    # The id is the first field of a line.
     lines = [line for line in path.read_text().splitlines() if line.strip()]
-    if len(lines) > KNOWN_RED_LIMIT:
+    if len(lines) > KNOWN_RED_MAX:
         raise SystemExit(
-            f"KNOWN-RED.txt has {len(lines)} lines; {KNOWN_RED_LIMIT} are allowed"
+            f"KNOWN-RED.txt has {len(lines)} lines; {KNOWN_RED_MAX} are allowed"
         )
     for line in lines:
         print(f"known red: {line}")
--- a/tools/scripted_endpoint.py
+++ b/tools/scripted_endpoint.py
@@ -1,4 +1,4 @@
-"""An endpoint that answers by script, for tests and soak."""
+"""An HTTP endpoint whose responses come from a script, for tests and the soak run."""
 
 import asyncio
 
@@ -6,7 +6,7 @@
 
 
 def request_id_of(head):
-    """Return the id of a request from its head."""
+    """Return the request id in a request head, or an empty string."""
     for line in head.decode().split("\r\n"):
         name, _, value = line.partition(":")
         if name.lower() == "x-gypsumusher-request-id":
@@ -15,7 +15,7 @@
 
 
 def encode_response(request_id, body=b"whole", status="200 OK", extra=(), framing=None):
-    """Return the bytes of an endpoint's answer."""
+    """Return the bytes of an endpoint's HTTP response."""
     lines = [f"HTTP/1.1 {status}", f"X-Gypsumusher-Request-Id: {request_id}"]
     lines.append("X-Gypsumusher-Server-Seal: seal")
     lines += extra
@@ -24,17 +24,18 @@
 
 
 def encode_chunk(data):
-    """Return one piece of a body without a length."""
+    """Return one chunk of a body with chunked transfer encoding."""
     return b"%x\r\n%b\r\n" % (len(data), data)
 
 
 class ScriptedEndpoint:
-    """Hands each request to a function that writes what it likes.
+    """Passes each request to a coroutine that writes the response.
 
     Parameters
     ----------
     script : callable
-        Coroutine ``script(number, head, body, writer)``; numbers count from 0.
+        Coroutine function ``script(number, head, body, writer)``; ``number`` counts
+        requests from 0.
     """
 
     def __init__(self, script):
@@ -51,7 +52,7 @@
         return f"127.0.0.1:{port}"
 
     async def close(self):
-        """Stop listening, and end what runs."""
+        """Stop listening, and cancel all running requests."""
         self._server.close()
         for task in list(self.tasks):
             task.cancel()
@@ -73,7 +74,7 @@
         except (ConnectionError, asyncio.IncompleteReadError):
             return
         except asyncio.CancelledError:
-            # The endpoint is closed; the library would report the cancelled task.
+            # `close` cancels this task; asyncio would log the cancellation.
             return
         finally:
             writer.close()
--- a/tools/testkit.py
+++ b/tools/testkit.py
@@ -1,4 +1,4 @@
-"""Start whole systems of stand-ins and daemons on loopback, and talk to them."""
+"""Starts systems of stand-ins and daemons on loopback and calls their APIs."""
 
 import asyncio
 import json
@@ -19,11 +19,13 @@
 PLATFORM_TOKEN = "platform-token"
 OPERATOR_TOKEN = "operators-token-0001"
 PEER_KEYS = [{"id": "k1", "secret": "a shared secret of the test hosts"}]
+# Limit and poll interval of `wait_until`.
 WAIT_TIMEOUT_S = 12.0
 WAIT_POLL_S = 0.02
+# Client timeout of each HTTP call.
 CALL_TIMEOUT_S = 30.0
 
-# Intervals a good deal shorter than a fleet's, so that tests take seconds. The ratios
+# Intervals far shorter than the defaults, so that tests take seconds; the ratios
 # between them are those of the defaults.
 FAST_SETTINGS = {
     "callers": {"port": 0, "entry_max_age_s": 0.3},
@@ -67,7 +69,7 @@
 
 
 class HttpResponse(NamedTuple):
-    """An HTTP answer: status, headers, raw body, and whether it ended properly."""
+    """An HTTP response; ``is_complete`` is false if its body was cut off."""
 
     status: int
     headers: Any
@@ -76,12 +78,12 @@
 
     @property
     def json(self):
-        """The body as JSON."""
+        """The body, decoded as JSON."""
         return json.loads(self.body)
 
     @property
     def error(self):
-        """The error object of a refusal, or an empty dict."""
+        """The error object of the response, or an empty dict if its status is 200."""
         if self.status == 200:
             return {}
         return self.json["error"]
@@ -95,7 +97,7 @@
 
 
 def choice_text(choice):
-    """Return the text in a choice of any of the four forms."""
+    """Return the text of a choice: completion or chat, whole or streamed."""
     for part in (choice, choice.get("message", {}), choice.get("delta", {})):
         for key in ("text", "content"):
             if isinstance(part.get(key), str):
@@ -104,7 +106,7 @@
 
 
 def stream_events(body):
-    """Return the (id, data) pairs of a stream's whole events."""
+    """Return the (id, data) pairs of the complete events of a stream."""
     events = []
     for block in body.decode().split("\n\n")[:-1]:
         fields = dict(line.split(": ", 1) for line in block.split("\n") if line)
@@ -113,7 +115,7 @@
 
 
 def stream_text(body):
-    """Return the generated text of a stream, without regard to its end marker."""
+    """Return the generated text of a stream, with or without the [DONE] event."""
     parts = []
     for _, data in stream_events(body):
         if data == "[DONE]":
@@ -130,13 +132,13 @@
 
 
 def is_done(body):
-    """Return whether a stream's last event is its end marker."""
+    """Return whether the last event of a stream is [DONE]."""
     events = stream_events(body)
     return bool(events) and events[-1][1] == "[DONE]"
 
 
 def merge_nested(defaults, changes):
-    """Return a nested dict with some keys replaced."""
+    """Return a nested dict with the values of another merged into it."""
     result = dict(defaults)
     for key, value in changes.items():
         if isinstance(value, dict) and isinstance(result.get(key), dict):
@@ -153,101 +155,103 @@
     condition : callable
         Coroutine function without arguments.
     what : str
-        What is waited for, for the failure's message.
+        Description of the condition, for the error message.
 
     Raises
     ------
     AssertionError
-        If it stays false for `WAIT_TIMEOUT_S`.
+        If the condition is false for `WAIT_TIMEOUT_S`.
     """
     loop = asyncio.get_running_loop()
-    end_s = loop.time() + WAIT_TIMEOUT_S
+    deadline_s = loop.time() + WAIT_TIMEOUT_S
     while True:
         result = await condition()
         if result:
             return result
-        assert loop.time() < end_s, f"waited in vain for: {what}"
+        assert loop.time() < deadline_s, f"not true within {WAIT_TIMEOUT_S:g} s: {what}"
         await asyncio.sleep(WAIT_POLL_S)
 
 
 class StandIn(Process):
-    """A stand-in with its test control."""
+    """A stand-in process with its control endpoint for tests."""
 
     session = None
 
     @property
     def address(self):
-        """``IP:PORT`` on which it listens."""
+        """``IP:PORT`` on which the stand-in listens."""
         return self.addresses["address"]
 
     async def control(self, **settings):
-        """Set faults."""
+        """Change the stand-in's settings, e.g. to inject a fault."""
         url = f"http://{self.address}/control"
-        async with self.session.post(url, json=settings) as answer:
-            assert answer.status == 200, await answer.text()
+        async with self.session.post(url, json=settings) as response:
+            assert response.status == 200, await response.text()
 
     async def counters(self):
-        """Return its counters."""
-        async with self.session.get(f"http://{self.address}/control") as answer:
-            return await answer.json()
+        """Return the counters of the stand-in."""
+        async with self.session.get(f"http://{self.address}/control") as response:
+            return await response.json()
 
 
 class Platform(StandIn):
-    """The platform stand-in, with an operator's view of its objects."""
+    """The platform stand-in, with access to its objects and its host list."""
 
     def _headers(self):
         return {"Authorization": f"Bearer {PLATFORM_TOKEN}", "X-Client-Name": "test"}
 
     async def read(self, kind, name):
-        """Return an object as the platform gives it, or None."""
+        """Return an object as the platform stores it, or None if it is missing."""
         url = f"http://{self.address}/v1/objects/{kind}/{name}"
-        async with self.session.get(url, headers=self._headers()) as answer:
-            return None if answer.status == 404 else await answer.json()
+        async with self.session.get(url, headers=self._headers()) as response:
+            return None if response.status == 404 else await response.json()
 
     async def list(self, kind):
         """Return all objects of a kind."""
         url = f"http://{self.address}/v1/objects/{kind}"
-        async with self.session.get(url, headers=self._headers()) as answer:
-            return (await answer.json())["items"]
+        async with self.session.get(url, headers=self._headers()) as response:
+            return (await response.json())["items"]
 
     async def write(self, kind, name, value, if_version=0):
-        """Write an object; fails if another version stands."""
+        """Write an object unless its version differs from `if_version`."""
         url = f"http://{self.address}/v1/objects/{kind}/{name}"
         body = {"value": value, "if_version": if_version}
-        async with self.session.put(url, json=body, headers=self._headers()) as answer:
-            assert answer.status in {200, 409}, await answer.text()
+        async with self.session.put(
+            url, json=body, headers=self._headers()
+        ) as response:
+            assert response.status in {200, 409}, await response.text()
 
     async def mark_leaving(self, endpoint):
-        """Mark an endpoint as leaving in the host list."""
-        await self._change_listing(endpoint, "state", "leaving")
+        """Set the state of an endpoint in the host list to ``leaving``."""
+        await self._change_list_item(endpoint, "state", "leaving")
 
     async def set_listed_address(self, endpoint, address):
-        """Give an endpoint another address in the host list."""
-        await self._change_listing(endpoint, "address", address)
+        """Change the address of an endpoint in the host list."""
+        await self._change_list_item(endpoint, "address", address)
 
-    async def _change_listing(self, endpoint, key, value):
+    async def _change_list_item(self, endpoint, key, value):
         url = f"http://{self.address}/v1/hosts"
-        async with self.session.get(url, headers=self._headers()) as answer:
-            items = (await answer.json())["items"]
+        async with self.session.get(url, headers=self._headers()) as response:
+            items = (await response.json())["items"]
         item = next(item for item in items if item["name"] == endpoint)
         item[key] = value
         call = self.session.post(url, json=item, headers=self._headers())
-        async with call as answer:
-            assert answer.status == 200
+        async with call as response:
+            assert response.status == 200
 
 
 class Host(Process):
-    """A daemon, with a caller's and an operator's view of it."""
+    """A daemon process, with calls to its listeners for callers and operators."""
 
     session = None
 
     async def call(self, method, path, body=None, headers=None, listener="callers"):
-        """Make one call and read its whole answer.
+        """Make one call and read the response to its end.
 
         Returns
         -------
-        Answer
-            ``is_complete`` is false when the connection broke off in the body.
+        HttpResponse
+            ``is_complete`` is false if the connection was closed in the body.
         """
         url = f"http://{self.addresses[listener]}{path}"
         data = body if isinstance(body, bytes) else None
@@ -255,18 +259,20 @@
         call = self.session.request(
             method, url, json=value, data=data, headers=headers or {}
         )
-        async with call as answer:
-            parts = []
-            whole = True
+        async with call as response:
+            chunks = []
+            is_complete = True
             try:
-                async for part in answer.content.iter_any():
-                    parts.append(part)
+                async for chunk in response.content.iter_any():
+                    chunks.append(chunk)
             except aiohttp.ClientError:
-                whole = False
-            return HttpResponse(answer.status, answer.headers, b"".join(parts), whole)
+                is_complete = False
+            return HttpResponse(
+                response.status, response.headers, b"".join(chunks), is_complete
+            )
 
     async def complete(self, prompt, max_tokens=8, headers=None, **extra):
-        """Ask for a completion."""
+        """Request a completion of a prompt."""
         body = {
             "model": "letter-models",
             "prompt": prompt,
@@ -276,21 +282,21 @@
         return await self.call("POST", "/v1/completions", body, headers)
 
     async def mint_key(self):
-        """Return a key that names this host as its home."""
-        answer = await self.call("POST", "/v1/keys")
-        return answer.json["key"]
+        """Return a new idempotency key whose home is this host."""
+        response = await self.call("POST", "/v1/keys")
+        return response.json["key"]
 
     async def key_outcome(self, key):
-        """Return what this host says of a key."""
+        """Return the outcome that this host reports for an idempotency key."""
         return (await self.call("GET", f"/v1/keys/{key}")).json["outcome"]
 
     async def admin(self, method, path, body=None):
-        """Make an operator's call."""
+        """Make a call to the operators' listener."""
         headers = {"Authorization": f"Bearer {OPERATOR_TOKEN}"}
         return await self.call(method, f"/admin{path}", body, headers, "operators")
 
     async def status(self):
-        """Return the operator's status."""
+        """Return the status that this host reports to operators."""
         return (await self.admin("GET", "/status")).json
 
     async def patch(self, base_number, patch, patch_id):
@@ -305,16 +311,16 @@
         return await self.admin("POST", "/config/patch", body)
 
     async def is_ready(self):
-        """Return whether it serves callers."""
+        """Return whether the host reports that it is ready."""
         return (await self.call("GET", "/readyz")).status == 200
 
 
 class Fleet:
-    """Everything one test starts; all of it is stopped at the end, by process id.
+    """All processes of one test, which are stopped at its end by process id.
 
     Notes
     -----
-    ``async with Fleet() as fleet`` gives an empty fleet with a temporary folder.
+    ``async with Fleet() as fleet`` creates an empty fleet with a temporary folder.
     """
 
     def __init__(self):
@@ -324,10 +330,10 @@
         self.platform = None
 
     async def __aenter__(self):
-        """Open the folder and the HTTP session."""
+        """Create the folder and the HTTP session."""
         self.folder = pathlib.Path(tempfile.mkdtemp(prefix="gypsumusher-test-"))
-        # The library repeats some methods when a connection breaks, which would hide
-        # what a caller sees.
+        # aiohttp repeats idempotent methods when a connection breaks, which would hide
+        # failures from the test.
         connector = aiohttp.TCPConnector(limit=0, force_close=True)
         timeout = aiohttp.ClientTimeout(total=CALL_TIMEOUT_S)
         self.session = aiohttp.ClientSession(connector=connector, timeout=timeout)
@@ -335,7 +341,7 @@
         return self
 
     async def __aexit__(self, kind, error, trace):
-        """Stop everything; on a failure, show the daemons' logs."""
+        """Stop all processes; if the test failed, print their logs."""
         for process in reversed(self.processes):
             process.destroy()
         await self.session.close()
@@ -346,11 +352,13 @@
 
     async def start_platform(self, **options):
         """Start the platform stand-in."""
-        self.platform = await self._stand_in(Platform, "platform", "platform", options)
+        self.platform = await self._start_stand_in(
+            Platform, "platform", "platform", options
+        )
         return self.platform
 
     async def start_engine(self, name, **options):
-        """Start an engine stand-in that is listed on the platform."""
+        """Start an engine stand-in that registers on the platform."""
         options = {
             "deployment": "letter-models",
             "speed": 20,
@@ -359,15 +367,19 @@
             "order_timeout_s": 1.0,
             "load_lag_s": 0.05,
             "cache_lag_s": 0.05,
-            **self._listing(name),
+            **self._registration_options(name),
             **options,
         }
-        return await self._stand_in(StandIn, "engine", name, options)
+        return await self._start_stand_in(StandIn, "engine", name, options)
 
     async def start_service(self, name, **options):
-        """Start a plain service stand-in that is listed on the platform."""
-        options = {"service": "counter-api", **self._listing(name), **options}
-        return await self._stand_in(StandIn, "service", name, options)
+        """Start a plain service stand-in that registers on the platform."""
+        options = {
+            "service": "counter-api",
+            **self._registration_options(name),
+            **options,
+        }
+        return await self._start_stand_in(StandIn, "service", name, options)
 
     async def start_host(self, name, zone="suwon-a", **changes):
         """Start a daemon; `changes` are sections of its settings."""
@@ -380,7 +392,7 @@
         return await self._start(Host, name, argv)
 
     async def put_config(self, document):
-        """Write a first configuration to the platform, as a finished patch would."""
+        """Write configuration number 1 to the platform, as an accepted patch would."""
         sections = {}
         for name, value in split_document(document).items():
             sections[name] = content_hash(value)
@@ -397,16 +409,16 @@
         await self.platform.write("config", "head", head)
 
     async def start_system(self, hosts=2, engines=2, deployment=None, **settings):
-        """Start a platform, engines and daemons; return when work can be served.
+        """Start a platform, engines and daemons, and wait until they serve requests.
 
         Parameters
         ----------
         hosts, engines : int
-            How many; they are named h1, h2 and e1, e2.
+            Number of daemons (named h1, h2, ...) and of engines (e1, e2, ...).
         deployment : dict, optional
             Changes to the configuration of the deployment letter-models.
         **settings
-            Sections of the daemons' settings.
+            Sections of the settings of each daemon.
 
         Returns
         -------
@@ -428,22 +440,22 @@
         return started[engines:], started[:engines]
 
     async def wait_until_served(self, hosts, engines, in_cell=1):
-        """Wait until each daemon is ready, sees the engines and the other daemons.
+        """Wait until each daemon is ready and knows the engines and other daemons.
 
         Parameters
         ----------
         hosts : list of Host
             The daemons.
         engines : int
-            How many engines each of them has to see.
+            Number of engines that each daemon has to list as live.
         in_cell : int
-            How many daemons have to know the engines' roles as well. An engine's role
-            comes with its first report, which only the hosts of its cell read; until
-            then it gets no work, however live its entry says it is.
+            Number of daemons that have to know the engines' roles as well. A role comes
+            with an engine's first load report, which only the hosts of its cell read;
+            until then the engine gets no work, even if its entry is live.
         """
 
         async def are_ready():
-            knowing = 0
+            hosts_with_roles = 0
             for host in hosts:
                 if not await host.is_ready():
                     return False
@@ -459,13 +471,13 @@
                 if len(live) < len(hosts):
                     return False
                 roles = [endpoint for endpoint in seen if endpoint["role"]]
-                knowing += len(roles) >= engines
-            return knowing >= in_cell
+                hosts_with_roles += len(roles) >= engines
+            return hosts_with_roles >= in_cell
 
-        await wait_until(are_ready, "the daemons to be ready")
+        await wait_until(are_ready, "all daemons are ready and know all engines")
 
     async def count_runs(self, prompt, engines):
-        """Return how often a prompt ran on some engines, prefill stages left out."""
+        """Return how often a prompt ran on these engines, not counting prefill."""
         runs = 0
         for engine in engines:
             if engine.exit_code() is None:
@@ -473,11 +485,11 @@
                 runs += counters["prompts"].get(prompt_digest(prompt), 0)
         return runs
 
-    def _listing(self, name):
+    def _registration_options(self, name):
         url = f"http://{self.platform.address}"
         return {"name": name, "platform": url, "platform_token": PLATFORM_TOKEN}
 
-    async def _stand_in(self, kind, command, name, options):
+    async def _start_stand_in(self, kind, command, name, options):
         argv = [sys.executable, "-m", "gypsumusher_standins", command]
         for key, value in options.items():
             argv += [f"--{key.replace('_', '-')}", str(value)]
