--- a/bench/baselines.py
+++ b/bench/baselines.py
@@ -1,4 +1,4 @@
-"""What the policy is compared with: three simple deciders and a bound from above."""
+"""Baselines for the policy: three simple deciders and an upper bound."""
 
 import heapq
 
@@ -9,16 +9,16 @@
     served_fraction,
 )
 
-MAX_ATTEMPTS = 3
+ATTEMPTS_MAX = 3
 
 
 class SimpleScheduler:
-    """Sends each request at once to the engine that ``pick`` names, and never refuses.
+    """Starts each request at once on the engine that ``pick`` returns.
 
     Parameters
     ----------
     pick : callable
-        Takes the names of the engines of one stage and their reports.
+        Takes the engine names of one stage and the last reports; returns a name.
     """
 
     def __init__(self, policy, pick):
@@ -27,73 +27,73 @@
         self.quarantine = None
         self.endpoints = {}
         self.reports = {}
-        self.flights = {}
+        self.in_flight = {}
 
     def set_endpoints(self, now_s, endpoints):
-        """Take the list of endpoints."""
+        """Store the list of endpoints, without those that are leaving."""
         self.endpoints = {item.name: item for item in endpoints if not item.leaving}
         return []
 
     def on_report(self, now_s, report: LoadReport):
-        """Remember the last report."""
+        """Store the last report of an engine."""
         self.reports[report.endpoint] = report
         return []
 
     def on_peer_load(self, now_s, peer, load):
-        """Ignore the peers: these deciders act on reports alone or on nothing."""
+        """Ignore the load of other hosts."""
         return []
 
     def own_load(self):
-        """Return nothing for the peers."""
+        """Return no load for other hosts."""
         return {}
 
     def on_cache_events(self, now_s, endpoint, add, remove):
-        """Ignore the caches."""
+        """Ignore prefix caches."""
 
     def submit(self, now_s, request):
         """Start a request at once."""
-        self.flights[request.request_id] = [request, 0, ""]
+        self.in_flight[request.request_id] = [request, 0, ""]
         return self._start(now_s, request.request_id, ("prefill", "mixed"))
 
     def on_prefill_done(self, now_s, request_id):
-        """Start the second stage at once."""
+        """Start the decode stage at once."""
         return self._start(now_s, request_id, ("decode", "mixed"))
 
     def on_first_token(self, now_s, request_id):
-        """Nothing depends on it."""
+        """Ignore first tokens."""
 
     def on_done(self, now_s, request_id, output_tokens):
-        """Forget the request."""
-        del self.flights[request_id]
+        """Remove the request."""
+        del self.in_flight[request_id]
         return []
 
     def on_failed(self, now_s, request_id, reason, ran):
-        """Try again on another engine, as the retry of a client library would."""
-        request, attempts, stage = self.flights[request_id]
+        """Retry on the next engine that is picked, as a client library would."""
+        request, attempts, stage = self.in_flight[request_id]
         retry = ran == "no" or request.idempotent
-        if not retry or attempts >= MAX_ATTEMPTS:
+        if not retry or attempts >= ATTEMPTS_MAX:
             return self._refuse(request_id)
         roles = ("prefill", "mixed") if stage != "decode" else ("decode", "mixed")
         return self._start(now_s, request_id, roles)
 
     def tick(self, now_s):
-        """Nothing waits here."""
+        """Return no actions, since no request waits."""
         return []
 
     def next_wakeup_s(self):
-        """Nothing is ever due."""
+        """Return None, since nothing is ever due."""
         return None
 
     def demand(self):
-        """Return nothing: these deciders change no roles."""
+        """Return no demand, since these deciders change no roles."""
         return {}
 
     def _refuse(self, request_id):
-        del self.flights[request_id]
+        del self.in_flight[request_id]
         return [Refuse(request_id, "endpoint_failed", "unknown", None, "baseline", "")]
 
     def _start(self, now_s, request_id, roles):
-        flight = self.flights[request_id]
+        flight = self.in_flight[request_id]
         names = [name for name, item in self.endpoints.items() if item.role in roles]
         if not names:
             return self._refuse(request_id)
@@ -109,7 +109,7 @@
 
 
 def make_round_robin():
-    """Return a pick that takes one engine after another."""
+    """Return a ``pick`` that takes the engines in turn."""
     turn = 0
 
     def pick(names, reports):
@@ -120,28 +120,28 @@
     return pick
 
 
-def make_least_loaded(draw):
-    """Return a pick that takes the engine whose last report shows the least load."""
+def make_least_loaded(rng):
+    """Return a ``pick`` that takes the engine with the least load reported last."""
 
     def pick(names, reports):
         loads = []
         for name in names:
             report = reports.get(name)
             load = report.running + report.waiting if report else 0
-            loads.append((load, draw.random(), name))
+            loads.append((load, rng.random(), name))
         return min(loads)[2]
 
     return pick
 
 
 class EagerPlanner:
-    """Shifts at once on every swing: no price, no dwell time, all changes together."""
+    """Changes all roles at once for the present demand, without price or dwell time."""
 
     def __init__(self, policy):
         self.policy = policy
 
     def plan(self, now_s, roles, demands, busy):
-        """Return the changes to the split that serves the present demand best."""
+        """Return the changes to the roles that serve the present demand best."""
         prefill = sum(demand["prefill_rate"] for demand in demands)
         decode = sum(demand["decode_rate"] for demand in demands)
         if prefill + decode <= 0:
@@ -168,9 +168,9 @@
 
 
 def best_static_split(arrivals, settings, engines, seconds):
-    """Return the (prefill, decode) split that suits the whole run's mix best.
+    """Return the engine counts (prefill, decode) that suit the mix of the whole run.
 
-    The static baseline gets the best split that hindsight can find.
+    The static baseline gets the best split in hindsight, so that it isn't handicapped.
     """
     decode_s = 0.0
     for arrival in arrivals:
@@ -182,20 +182,19 @@
 
 
 def clairvoyant_work_s(arrivals, capacity, end_s):
-    """Return the most on-time work that any planner could do, in engine seconds.
+    """Return the most on-time work of any planner, in engine seconds.
 
-    It knows the whole arrival list and is given what no real fleet has: engines that
-    do either kind of work at full rate and change at no cost, a request that may be
-    spread over all engines at once, every prefix shared by all caches, and credit for
-    the part of a request done in time. Under these, earliest deadline first does the
-    most work inside the requests' windows, so that no planner can do more.
+    The bound relaxes the real problem: all arrivals are known, engines do prefill and
+    decode at full rate and change roles at no cost, a request may run on all engines at
+    once, caches share every prefix, and work on unfinished requests counts. Under these
+    assumptions earliest deadline first does the most work, so no planner can exceed it.
 
     Parameters
     ----------
     arrivals : list of Arrival
         All requests, in order of arrival.
     capacity : list of (from_s, engines)
-        Engines there, at full speed, from each time on.
+        Number of engines at full speed, from each time on.
     end_s : float
         End of the measurement, in seconds.
     """
@@ -205,19 +204,22 @@
     events.sort(key=lambda event: event[:2])
     events.append((end_s, 2, None))
     waiting, order, engines, now_s, done_s = [], 0, 0.0, 0.0, 0.0
-    for at_s, what, value in events:
-        done_s += _work_until(waiting, now_s, min(at_s, end_s), engines)
+    for at_s, kind, value in events:
+        done_s += _run_earliest_deadline_first(
+            waiting, now_s, min(at_s, end_s), engines
+        )
         now_s = at_s
-        if what == 0:
+        if kind == 0:
             engines = value
-        if what == 1:
+        if kind == 1:
             order += 1
             deadline_s = min(end_s, value.request.deadline_s)
             heapq.heappush(waiting, [deadline_s, order, value.work_s])
     return done_s
 
 
-def _work_until(waiting, now_s, until_s, engines):
+def _run_earliest_deadline_first(waiting, now_s, until_s, engines):
+    """Run waiting requests until a time; return the work done, in engine seconds."""
     done_s = 0.0
     while waiting and now_s < until_s and engines > 0:
         first = waiting[0]
@@ -225,8 +227,8 @@
         if stop_s <= now_s:
             heapq.heappop(waiting)
             continue
-        room_s = (stop_s - now_s) * engines
-        used_s = min(room_s, first[2])
+        available_s = (stop_s - now_s) * engines
+        used_s = min(available_s, first[2])
         done_s += used_s
         first[2] -= used_s
         now_s += used_s / engines
--- a/bench/engine_model.py
+++ b/bench/engine_model.py
@@ -1,7 +1,8 @@
-"""A fake model engine at its interface, stepped in virtual time.
+"""Simulates a model engine in virtual time, seen through its interface.
 
-It has prefill and decode rates, batch slots, a KV limit, a prefix cache with late and
-gappy events, lagging load reports, and loses seconds at each role change or load.
+The model has prefill and decode rates, batch slots, a KV cache limit, load reports that
+arrive late, a prefix cache whose events arrive late and in part, and downtime at each
+role change or model load.
 """
 
 from collections import OrderedDict
@@ -10,28 +11,29 @@
 
 from gypsumusher_policy import LoadReport, Request
 
-# Length of one step; outputs appear at its end.
+# Length of one step of the batch; its outputs appear at its end.
 STEP_S = 0.05
+# Tokens of one prefix chunk, the unit of the prefix cache.
 PREFIX_TOKENS = 64
 
 
 class EngineSettings(NamedTuple):
-    """What an engine can do.
+    """Rates and limits of an engine.
 
     Parameters
     ----------
     prefill_tokens_per_s, decode_tokens_per_s : float
-        Rates of the whole engine.
+        Rates of the whole engine, over all its streams.
     stream_tokens_per_s : float
-        Most that one stream gets, however empty the batch is.
+        Decode rate limit of one stream, reached with a small batch.
     slots : int
-        Streams in the batch.
+        Maximum number of jobs in the batch.
     kv_limit_tokens : int
-        KV cache, in tokens.
+        Capacity of the KV cache, in tokens.
     mixed_share : float
-        Share of the rates left while both kinds of work run in one step.
+        Share of both rates that is left in steps with both prefill and decode.
     cache_prefixes : int
-        Prefix parts that the cache holds.
+        Capacity of the prefix cache, in chunks of `PREFIX_TOKENS`.
     """
 
     prefill_tokens_per_s: float = 8000.0
@@ -44,9 +46,10 @@
 
 
 class Job:
-    """One attempt on an engine; ``notify(event, ran)`` tells the host of it.
+    """One attempt of a request on an engine.
 
-    ``on_fetched`` is called when a decode engine has fetched the prompt's cache.
+    ``notify(event, ran)`` reports events to the host; ``on_fetched`` is called when a
+    decode engine has fetched the KV cache of the prompt.
     """
 
     def __init__(
@@ -64,22 +67,36 @@
         self.notify = notify
         self.on_fetched = on_fetched
         self.order = 0
-        self.prompt_left = 0.0 if stage == "decode" else float(request.prompt_tokens)
-        self.output_left = 0.0 if stage == "prefill" else float(output_tokens)
+        self.prefill_left_tokens = (
+            0.0 if stage == "decode" else float(request.prompt_tokens)
+        )
+        self.decode_left_tokens = 0.0 if stage == "prefill" else float(output_tokens)
         self.kv_tokens = request.prompt_tokens + output_tokens
         self.first_token = False
 
 
 class Engine:
-    """One engine; `submit` and the orders are its interface."""
+    """One engine; `submit`, `release` and `change` are its interface.
+
+    Attributes
+    ----------
+    speed : float
+        Factor on all rates.
+    black_hole : bool
+        Whether every job fails at once, as on a faulty engine that looks idle.
+    crash_fingerprint : str or None
+        Fingerprint of the request that crashes the engine.
+    changes, crashes : int
+        Number of role changes and of crashes.
+    """
 
-    def __init__(self, clock, name: str, zone: str, role: str, settings, draw):
+    def __init__(self, clock, name: str, zone: str, role: str, settings, rng):
         self.clock = clock
         self.name = name
         self.zone = zone
         self.role = role
         self.settings = settings
-        self.draw = draw
+        self.rng = rng
         self.speed = 1.0
         self.alive = True
         self.draining = False
@@ -102,7 +119,7 @@
         self.arrivals = 0
 
     def submit(self, job: Job) -> None:
-        """Take a job, or tell at once that nothing of it ran."""
+        """Queue a job, or report at once that the engine does not take it."""
         if not self.alive:
             job.notify("connect", "no")
             return
@@ -118,18 +135,18 @@
         self._wake()
 
     def release(self, tokens: int) -> None:
-        """Free the cache of a prompt that has been fetched or given up."""
+        """Free the KV cache of a prompt that was fetched or is no longer needed."""
         self.kv_used = max(0, self.kv_used - tokens)
         self._wake()
 
     def change(self, seconds: float, apply: Callable[[], None]) -> None:
-        """Finish what runs, then be away for some seconds, then apply the change."""
+        """Drain, be unavailable for some seconds, then apply the change."""
         self.draining = True
         self.after_drain = (seconds, apply)
         self._finish_drain()
 
     def crash(self, restart_s: float | None) -> None:
-        """Lose all that runs; come back after a time, or never."""
+        """Drop all jobs and caches; restart after ``restart_s``, or never if None."""
         lost = self.batch + self.waiting
         self.batch, self.waiting = [], []
         self.kv_used = 0
@@ -144,9 +161,11 @@
             self.clock.after(restart_s, self._restart)
 
     def report(self) -> LoadReport:
-        """Return a snapshot; whoever delivers it sets its age."""
+        """Return the load at this moment; the caller sets its age on delivery."""
         self.sequence += 1
-        waiting_tokens = sum(job.prompt_left for job in self.batch + self.waiting)
+        waiting_tokens = sum(
+            job.prefill_left_tokens for job in self.batch + self.waiting
+        )
         return LoadReport(
             self.name,
             self.sequence,
@@ -164,9 +183,9 @@
         )
 
     def take_cache_events(self) -> tuple[list[int], list[int]]:
-        """Return the cache changes since the last call; a tenth is lost."""
-        added = [item for item in self.cache_added if self.draw.random() > 0.1]
-        removed = [item for item in self.cache_removed if self.draw.random() > 0.1]
+        """Return the cache changes since the last call; a tenth of them is lost."""
+        added = [item for item in self.cache_added if self.rng.random() > 0.1]
+        removed = [item for item in self.cache_removed if self.rng.random() > 0.1]
         self.cache_added, self.cache_removed = [], []
         return added, removed
 
@@ -181,102 +200,114 @@
         self.after_drain = None
 
     def _wake(self):
+        """Start stepping if the engine is idle."""
         if self.stepping or not self.alive:
             return
         self.stepping = True
         self._step()
 
     def _step(self):
-        """Start a step; its outputs appear at its end."""
+        """Start one step of the batch, whose outputs appear after `STEP_S`."""
         if not self.alive or not (self.batch or self.waiting):
             self.stepping = False
             self._finish_drain()
             return
         self._fill_batch()
         if not self.batch:
-            # All of the cache is held for other engines; its release wakes this one.
+            # The KV cache is full of finished prefills; `release` wakes the engine.
             self.stepping = False
             return
-        prompts = [job for job in self.batch if job.prompt_left > 0]
-        streams = [job for job in self.batch if job.prompt_left <= 0]
-        decode_share, prefill_share = self._shares(prompts, streams)
+        prefills = [job for job in self.batch if job.prefill_left_tokens > 0]
+        streams = [job for job in self.batch if job.prefill_left_tokens <= 0]
+        decode_share, prefill_share = self._step_shares(prefills, streams)
         self.busy_s += STEP_S * min(1.0, decode_share + prefill_share)
         budget_s = STEP_S * self.speed
-        if prompts and streams:
+        if prefills and streams:
             budget_s *= self.settings.mixed_share
-        self._process_prompts(prompts, budget_s * prefill_share)
-        self._generate(streams, budget_s * decode_share)
+        self._prefill(prefills, budget_s * prefill_share)
+        self._decode(streams, budget_s * decode_share)
         self.clock.after(STEP_S, self._end_step)
 
     def _fill_batch(self):
+        """Move waiting jobs into the batch while slots and the KV cache suffice."""
         self.waiting.sort(key=_by_priority)
-        kept = []
+        remaining = []
         for job in self.waiting:
             free = len(self.batch) < self.settings.slots
             fits = self.kv_used + job.kv_tokens <= self.settings.kv_limit_tokens
             if not free or not (fits or self.kv_used == 0):
-                kept.append(job)
+                remaining.append(job)
                 continue
             self.batch.append(job)
             self.kv_used += job.kv_tokens
             if job.on_fetched is not None:
                 job.on_fetched()
-            self._use_cache(job)
-        self.waiting = kept
+            self._apply_prefix_cache(job)
+        self.waiting = remaining
 
-    def _shares(self, prompts, streams):
-        """Return the shares of the step that go to generating and to prompts."""
+    def _step_shares(self, prefills, streams):
+        """Return the shares of the step for decode and for prefill."""
         rate = self.settings.decode_tokens_per_s
         wanted = min(1.0, len(streams) * self.settings.stream_tokens_per_s / rate)
-        if not prompts:
+        if not prefills:
             return wanted, 0.0
         if not streams:
             return 0.0, 1.0
         decode = min(wanted, 0.5)
         return decode, 1.0 - decode
 
-    def _process_prompts(self, prompts, budget_s):
-        prompts.sort(key=_by_priority)
+    def _prefill(self, prefills, budget_s):
+        """Spend the prefill share of a step on prefills, by priority."""
+        prefills.sort(key=_by_priority)
         tokens = budget_s * self.settings.prefill_tokens_per_s
-        for job in prompts:
-            used = min(tokens, job.prompt_left)
-            job.prompt_left -= used
+        for job in prefills:
+            used = min(tokens, job.prefill_left_tokens)
+            job.prefill_left_tokens -= used
             tokens -= used
             if tokens <= 0:
                 break
 
-    def _generate(self, streams, budget_s):
+    def _decode(self, streams, budget_s):
+        """Spread the decode share of a step evenly over the streams."""
         if not streams:
             return
         tokens = budget_s * self.settings.decode_tokens_per_s / len(streams)
         tokens = min(tokens, STEP_S * self.speed * self.settings.stream_tokens_per_s)
         for job in streams:
-            job.output_left -= tokens
+            job.decode_left_tokens -= tokens
 
     def _end_step(self):
-        bad = self.crash_fingerprint
-        if bad and any(job.request.fingerprint == bad for job in self.batch):
+        """Report first tokens and finished jobs, or crash on the crashing request."""
+        fingerprint = self.crash_fingerprint
+        if fingerprint and any(
+            job.request.fingerprint == fingerprint for job in self.batch
+        ):
             self.stepping = False
             self.crash(restart_s=30.0)
             return
-        kept = []
+        remaining = []
         for job in self.batch:
-            if job.prompt_left <= 0 and not job.first_token and job.stage != "prefill":
+            if (
+                job.prefill_left_tokens <= 0
+                and not job.first_token
+                and job.stage != "prefill"
+            ):
                 job.first_token = True
                 job.notify("first_token", "")
-            if job.prompt_left > 0 or job.output_left > 0:
-                kept.append(job)
+            if job.prefill_left_tokens > 0 or job.decode_left_tokens > 0:
+                remaining.append(job)
                 continue
             if job.stage == "prefill":
-                # Its cache stays here until a decode engine has fetched it.
+                # The KV cache stays allocated until a decode engine has fetched it.
                 job.notify("prefill_done", "")
                 continue
             self.kv_used -= job.kv_tokens
             job.notify("done", "")
-        self.batch = kept
+        self.batch = remaining
         self._step()
 
-    def _use_cache(self, job):
+    def _apply_prefix_cache(self, job):
+        """Skip the cached prefix of a job, and add its prefix to the cache."""
         if job.stage == "decode":
             return
         hashes = job.request.prefix_hashes
@@ -285,7 +316,9 @@
             if prefix_hash not in self.cache:
                 break
             hits += 1
-        job.prompt_left = max(1.0, job.prompt_left - hits * PREFIX_TOKENS)
+        job.prefill_left_tokens = max(
+            1.0, job.prefill_left_tokens - hits * PREFIX_TOKENS
+        )
         for prefix_hash in hashes:
             if prefix_hash not in self.cache:
                 self.cache_added.append(prefix_hash)
@@ -295,6 +328,7 @@
             self.cache_removed.append(self.cache.popitem(last=False)[0])
 
     def _finish_drain(self):
+        """Start a pending change once no job is left."""
         if self.after_drain is None or self.batch or self.waiting or self.stepping:
             return
         seconds, apply = self.after_drain
--- a/bench/plots.py
+++ b/bench/plots.py
@@ -1,4 +1,4 @@
-"""Plots of a swing: demand by kind, roles, and goodput against the bound."""
+"""Plots demand, engine roles, and goodput against the bound, for one run."""
 
 import matplotlib
 
@@ -6,6 +6,7 @@
 import matplotlib.pyplot as plt  # noqa: E402
 from baselines import clairvoyant_work_s  # noqa: E402
 
+# Width of the bins of all plots.
 BIN_S = 10.0
 COLOURS = {
     "prefill": "tab:blue",
@@ -23,9 +24,9 @@
     run : Run
         The finished run.
     result : Result
-        What it gave.
+        The measures of the run.
     folder : pathlib.Path
-        Where the file goes.
+        Folder for the PNG file.
     """
     figure, axes = plt.subplots(3, 1, figsize=(9, 9), sharex=True)
     _plot_demand(axes[0], run)
@@ -41,19 +42,19 @@
     plt.close(figure)
 
 
-def _bins(run):
+def _bin_count(run):
     return int(run.end_s / BIN_S) + 1
 
 
 def _plot_demand(axis, run):
-    decode = [0.0] * _bins(run)
-    prefill = [0.0] * _bins(run)
+    decode = [0.0] * _bin_count(run)
+    prefill = [0.0] * _bin_count(run)
     for arrival in run.arrivals:
-        place = int(arrival.request.arrived_s / BIN_S)
+        index = int(arrival.request.arrived_s / BIN_S)
         out_s = arrival.output_tokens / run.settings.decode_tokens_per_s
-        decode[place] += out_s / BIN_S
-        prefill[place] += (arrival.work_s - out_s) / BIN_S
-    times = [place * BIN_S for place in range(len(decode))]
+        decode[index] += out_s / BIN_S
+        prefill[index] += (arrival.work_s - out_s) / BIN_S
+    times = [index * BIN_S for index in range(len(decode))]
     axis.stackplot(
         times,
         prefill,
@@ -77,7 +78,7 @@
 
 
 def _plot_goodput(axis, run):
-    times = [place * BIN_S for place in range(_bins(run))]
+    times = [index * BIN_S for index in range(_bin_count(run))]
     done = [0.0] * len(times)
     for arrival, request, outcome in run.outcomes:
         if outcome.code == "done" and outcome.at_s <= request.deadline_s:
--- a/bench/run_bench.py
+++ b/bench/run_bench.py
@@ -1,7 +1,7 @@
-"""Runs the bench: JSON lines to build/bench.jsonl and plots to build/plots.
+"""Runs the bench and writes build/bench.jsonl and the plots in build/plots.
 
-``run_bench.py [--deciders a,b] [--scenarios a,b] [--users a,b] [--scale X]`` runs a
-part of it; without arguments everything runs.
+``run_bench.py [--deciders a,b] [--scenarios a,b] [--users a,b] [--scale X]`` selects
+what runs; without arguments everything runs.
 """
 
 import argparse
@@ -19,9 +19,10 @@
 
 ROOT = pathlib.Path(__file__).resolve().parent.parent
 BUILD = ROOT / "build"
-# The bench leaves most of the machine to whatever else runs on it.
+# Few worker processes, to leave most CPUs to other work on the machine.
 PROCESSES = 3
-SHOWN = (
+# Result fields that are printed.
+PRINTED_FIELDS = (
     "goodput_share",
     "role_changes",
     "refusals",
@@ -40,11 +41,11 @@
 
 
 def run_one(job):
-    """Run one scenario in a process of the pool; return its result as a dict."""
+    """Run one scenario in a worker process and return its result as a dict."""
     user, name, decider, scale, plots = job
     policy = None
     if decider == "policy_cheap":
-        # The same user at the other one's price, to see what its own price costs.
+        # The user with hanbit's role change price, to show what its own price costs.
         policy = USERS[user].policy._replace(
             role_change_price_s=USERS["hanbit"].policy.role_change_price_s
         )
@@ -57,7 +58,7 @@
 
 
 def main(argv=None):
-    """Run what the arguments name and write the results."""
+    """Run the selected scenarios, and write and print the results."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--deciders", default=",".join(DECIDERS))
     parser.add_argument("--scenarios", default=",".join(BY_NAME))
@@ -82,11 +83,11 @@
     ):
         for result in pool.map(run_one, jobs):
             print(json.dumps(result), file=out, flush=True)
-            _show(result)
+            _print_result(result)
             share = result["goodput_share"]
             shares.setdefault(result["decider"], []).append(share)
         if options.deciders == ",".join(DECIDERS):
-            for measure in _costs():
+            for measure in _measure_costs():
                 print(json.dumps(measure), file=out, flush=True)
                 print(" ".join(f"{name}={value}" for name, value in measure.items()))
     for decider, values in shares.items():
@@ -94,16 +95,16 @@
         print(f"decider={decider} mean={mean:.4f} least={min(values):.4f}")
 
 
-def _costs():
+def _measure_costs():
     for replicas in (6, 25, 100, 400):
         yield measure_decision(replicas)
     yield run_two_years()
 
 
-def _show(result):
-    words = [result["user"], result["scenario"], result["decider"]]
-    words += [f"{name}={result[name]}" for name in SHOWN]
-    print(" ".join(words), flush=True)
+def _print_result(result):
+    parts = [result["user"], result["scenario"], result["decider"]]
+    parts += [f"{name}={result[name]}" for name in PRINTED_FIELDS]
+    print(" ".join(parts), flush=True)
 
 
 if __name__ == "__main__":
--- a/bench/scenarios.py
+++ b/bench/scenarios.py
@@ -1,4 +1,4 @@
-"""The scenarios of the bench, for both users' sizes and zones, with fixed seeds."""
+"""The scenarios of the bench, with fixed seeds, for both users' fleets."""
 
 from engine_model import EngineSettings
 from simulation import Run, Scenario
@@ -6,27 +6,32 @@
 
 USERS = {"hanbit": HANBIT, "khadra": KHADRA}
 SEEDS = {"hanbit": 11, "khadra": 23}
-READ, WRITE, EVEN = 0.75, 0.15, 0.45
+# Values of `Phase.prefill_share`.
+PREFILL_HEAVY, DECODE_HEAVY, BALANCED = 0.75, 0.15, 0.45
+# Usual load of a phase, as a share of the fleet's engine seconds.
 LOAD = 0.85
 
 
 def _oscillation():
+    """Return phases that alternate between the two extreme mixes."""
     phases = []
     for turn in range(8):
-        # Half a period is just the dwell time of both users' settings.
-        phases.append(Phase(60.0, LOAD, READ if turn % 2 else WRITE))
+        # Half a period equals the dwell time in the policies of both users.
+        phases.append(Phase(60.0, LOAD, PREFILL_HEAVY if turn % 2 else DECODE_HEAVY))
     return tuple(phases)
 
 
 def _bursts():
+    """Return short overloads between longer periods of low load."""
     phases = []
     for _ in range(8):
-        phases.append(Phase(25.0, 0.5, EVEN))
-        phases.append(Phase(5.0, 2.2, EVEN))
+        phases.append(Phase(25.0, 0.5, BALANCED))
+        phases.append(Phase(5.0, 2.2, BALANCED))
     return tuple(phases)
 
 
 def _swing(first, second):
+    """Return phases whose prefill share moves to another value and back."""
     middle = (first + second) / 2
     return (
         Phase(120.0, LOAD, first),
@@ -37,26 +42,26 @@
     )
 
 
-STEADY = (Phase(240.0, LOAD, EVEN),)
+STEADY = (Phase(240.0, LOAD, BALANCED),)
 SCENARIOS = (
     Scenario("steady", STEADY),
-    Scenario("swing_to_reading", _swing(WRITE, READ), plot=True),
-    Scenario("swing_to_writing", _swing(READ, WRITE), plot=True),
+    Scenario("swing_to_reading", _swing(DECODE_HEAVY, PREFILL_HEAVY), plot=True),
+    Scenario("swing_to_writing", _swing(PREFILL_HEAVY, DECODE_HEAVY), plot=True),
     Scenario("oscillation", _oscillation(), plot=True),
     Scenario("bursts", _bursts()),
     Scenario("skew", STEADY, skew=2.0),
     Scenario("slow_endpoint", STEADY, faults=((40.0, "slow", 4),)),
     Scenario("long_and_short", (Phase(120.0, 0.9, 0.75), Phase(120.0, 0.9, 0.4))),
-    Scenario("saturation", (Phase(300.0, 1.5, EVEN),)),
-    Scenario("refused_callers", (Phase(240.0, 1.2, EVEN),), obey=True),
+    Scenario("saturation", (Phase(300.0, 1.5, BALANCED),)),
+    Scenario("refused_callers", (Phase(240.0, 1.2, BALANCED),), obey_retry_after=True),
     Scenario("withdrawn", STEADY, faults=((60.0, "withdraw", 5),)),
-    Scenario("rollout", (Phase(300.0, 0.6, EVEN),), faults=((30.0, "rollout", 0),)),
+    Scenario("rollout", (Phase(300.0, 0.6, BALANCED),), faults=((30.0, "rollout", 0),)),
     Scenario("late_reports", STEADY, report_lag_s=5.0),
     Scenario(
         "crashing_request",
         STEADY,
         faults=((0.0, "poison", "poison"),),
-        repeat_failed=True,
+        resend_failed=True,
     ),
     Scenario(
         "black_hole", STEADY, faults=((40.0, "black_hole", 1), (160.0, "heal", 1))
@@ -77,9 +82,9 @@
     decider : str
         One of ``simulation.DECIDERS``.
     time_scale : float
-        Factor on the lengths of the phases and the times of the faults.
+        Factor on the durations of the phases and the times of the faults.
     policy : DeploymentPolicy, optional
-        Settings in place of the user's own.
+        Replaces the user's own policy.
     """
     user = USERS[user_name]
     if policy is not None:
@@ -92,14 +97,14 @@
     settings = EngineSettings()
     seed = SEEDS[user_name]
     arrivals = make_arrivals(user, scenario.phases, seed, settings, scenario.skew)
-    if scenario.repeat_failed:
-        arrivals = _poison(arrivals, time_scale)
+    if scenario.resend_failed:
+        arrivals = _add_crashing_request(arrivals, time_scale)
     run = Run(user, scenario, decider, seed, settings, time_scale)
     return run, run.run(arrivals)
 
 
-def _poison(arrivals, time_scale):
-    """Make the first request after 40 s one that crashes each engine it runs on."""
+def _add_crashing_request(arrivals, time_scale):
+    """Make the first request after 40 s crash every engine that runs it."""
     changed = []
     done = False
     for arrival in arrivals:
--- a/bench/simulation.py
+++ b/bench/simulation.py
@@ -1,4 +1,4 @@
-"""Runs one scenario with one decider in virtual time and measures what callers saw."""
+"""Runs a scenario under one decider in virtual time and measures its outcomes."""
 
 import random
 from collections import Counter
@@ -19,42 +19,47 @@
 from gypsumusher_policy import Quarantine, RoleChangePlanner, RolloutPlanner, Scheduler
 from gypsumusher_policy.rollout import engines_needed
 
-GOSSIP_S = 0.25
+# Period and delivery delay of state updates between hosts.
+GOSSIP_PERIOD_S = 0.25
 GOSSIP_LAG_S = 0.1
-REPORT_S = 0.5
-STEWARD_S = 1.0
-# From the steward's decision until every host has stopped placing, in seconds.
+# Period of the engines' load reports.
+REPORT_PERIOD_S = 0.5
+# Period at which role changes and rollouts are planned.
+PLANNING_PERIOD_S = 1.0
+# From the decision to change an engine until every host has stopped sending it work.
 ORDER_LAG_S = 0.5
-LIST_S = 1.0
-# Time after the last arrival in which work may still end on time, in seconds.
+# Period at which hosts receive the list of engines.
+ENDPOINT_LIST_PERIOD_S = 1.0
+# Time after the last arrival in which requests may still finish on time.
 DRAIN_S = 60.0
-# Seconds that a load from the weight store takes when it runs alone.
-LOAD_S = 15.0
+# Duration of a model load from the weight store, if no other runs at the same time.
+MODEL_LOAD_S = 15.0
 
+# Compared deciders: the library's policy and three baselines.
 DECIDERS = ("policy", "static", "least_loaded", "eager")
 
 
 class Scenario(NamedTuple):
-    """One run: the work, the view's lag, and what goes wrong.
+    """The load, the report lag and the faults of one run.
 
     Parameters
     ----------
     name : str
         Name in the results.
     phases : tuple of Phase
-        Loads and mixes.
+        Loads and mixes, one after another.
     report_lag_s : float
         Age of a load report when it arrives.
     skew : float
-        Skew of the tenants.
+        Exponent of the tenants' Zipf weights.
     faults : tuple of (at_s, kind, value)
-        What happens to the engines.
-    obey : bool
-        Whether refused callers come again when they are told to.
-    repeat_failed : bool
-        Whether a caller whose request failed sends it again.
+        Faults of engines; the value is the index of an engine or a fingerprint.
+    obey_retry_after : bool
+        Whether refused callers send the request again after Retry-After.
+    resend_failed : bool
+        Whether the caller of the crashing request sends it again.
     plot : bool
-        Whether the run is plotted.
+        Whether to plot the run.
     """
 
     name: str
@@ -62,13 +67,17 @@
     report_lag_s: float = 0.5
     skew: float = 1.0
     faults: tuple = ()
-    obey: bool = False
-    repeat_failed: bool = False
+    obey_retry_after: bool = False
+    resend_failed: bool = False
     plot: bool = False
 
 
 class Result(NamedTuple):
-    """What one run gave; work is in engine seconds."""
+    """The measures of one run.
+
+    Goodput, bound and wasted work are in engine seconds. Comebacks are requests sent
+    again after Retry-After, `comebacks_in` those that were not refused again.
+    """
 
     scenario: str
     user: str
@@ -94,7 +103,7 @@
 
 
 class Run:
-    """One scenario under one decider."""
+    """One run of a scenario under one decider."""
 
     def __init__(self, user, scenario, decider, seed, settings=None, time_scale=1.0):
         self.user = user
@@ -104,9 +113,10 @@
         self.settings = settings or EngineSettings()
         self.time_scale = time_scale
         self.clock = VirtualClock()
-        self.draw = random.Random(seed + 1)
+        self.rng = random.Random(seed + 1)
         self.fleet = {}
         self.hosts = []
+        # Role that each engine has after its pending change, by engine name.
         self.changing = {}
         self.outcomes = []
         self.comebacks = Counter()
@@ -117,13 +127,13 @@
         self.rollout = None
 
     def run(self, arrivals) -> Result:
-        """Play the arrivals and return what callers saw."""
+        """Simulate the arrivals and return the measures of the run."""
         self.arrivals = arrivals
         self.seconds = sum(phase.seconds for phase in self.scenario.phases)
         self.end_s = self.seconds + DRAIN_S
         self._make_fleet()
         self._make_hosts()
-        self._schedule()
+        self._schedule_events()
         self.clock.run_until(self.end_s)
         return self._result()
 
@@ -132,11 +142,11 @@
         prefill, _ = best_static_split(self.arrivals, self.settings, count, 0)
         zones = self.user.zones
         for number in range(count):
-            # Every zone gets some of each role, as an operator would set it up.
+            # Both roles are spread over the zones, as an operator would set it up.
             role = "prefill" if number < prefill else "decode"
             name = f"engine-{number}"
             zone = zones[number % len(zones)]
-            engine = Engine(self.clock, name, zone, role, self.settings, self.draw)
+            engine = Engine(self.clock, name, zone, role, self.settings, self.rng)
             self.fleet[name] = engine
 
     def _make_hosts(self):
@@ -153,7 +163,7 @@
                 self.user.zone_delay_s,
                 self._on_outcome,
             )
-            host.tell_crash = self._tell_crash
+            host.on_engine_crash = self._send_suspicions
             self.hosts.append(host)
         self.planner = None
         if self.decider == "policy":
@@ -166,40 +176,40 @@
         if self.decider == "static":
             return SimpleScheduler(policy, make_round_robin())
         if self.decider == "least_loaded":
-            draw = random.Random(self.seed + 100 + number)
-            return SimpleScheduler(policy, make_least_loaded(draw))
+            rng = random.Random(self.seed + 100 + number)
+            return SimpleScheduler(policy, make_least_loaded(rng))
         return Scheduler(policy, name, zone, self.seed + number, Quarantine())
 
-    def _schedule(self):
+    def _schedule_events(self):
         clock = self.clock
         for arrival in self.arrivals:
-            clock.at(arrival.request.arrived_s, self._arrive(arrival))
-        clock.every(LIST_S, 0.0, self._list)
-        clock.every(GOSSIP_S, 0.05, self._gossip)
-        clock.every(REPORT_S, 0.0, self._report)
-        clock.every(STEWARD_S, 0.9, self._steer)
+            clock.at(arrival.request.arrived_s, self._submit_arrival(arrival))
+        clock.every(ENDPOINT_LIST_PERIOD_S, 0.0, self._send_endpoint_list)
+        clock.every(GOSSIP_PERIOD_S, 0.05, self._gossip)
+        clock.every(REPORT_PERIOD_S, 0.0, self._send_reports)
+        clock.every(PLANNING_PERIOD_S, 0.9, self._plan_changes)
         clock.every(1.0, 0.0, self._sample)
-        clock.every(0.5, 0.25, self._tick)
+        clock.every(0.5, 0.25, self._tick_hosts)
         for at_s, kind, value in self.scenario.faults:
             clock.at(at_s * self.time_scale, self._fault(kind, value))
 
-    def _arrive(self, arrival):
+    def _submit_arrival(self, arrival):
         def act():
-            host = self.draw.choice(self.hosts)
+            host = self.rng.choice(self.hosts)
             host.submit(arrival, arrival.request)
 
         return act
 
-    def _list(self):
-        view = {}
+    def _send_endpoint_list(self):
+        endpoints = {}
         for name, engine in self.fleet.items():
             if engine.alive:
-                view[name] = (engine.zone, engine.role)
+                endpoints[name] = (engine.zone, engine.role)
         for host in self.hosts:
-            self.clock.after(2.0, lambda host=host: host.hear_endpoints(view))
+            self.clock.after(2.0, lambda host=host: host.set_endpoint_list(endpoints))
         if self.clock.now_s == 0.0:
             for host in self.hosts:
-                host.hear_endpoints(view)
+                host.set_endpoint_list(endpoints)
 
     def _gossip(self):
         for host in self.hosts:
@@ -209,18 +219,20 @@
             for other in self.hosts:
                 if other is host:
                     continue
-                self.clock.after(GOSSIP_LAG_S, self._hear_peer(other, host.name, load))
+                self.clock.after(
+                    GOSSIP_LAG_S, self._deliver_peer_load(other, host.name, load)
+                )
                 if convictions:
-                    self._hear_convictions(other, convictions)
+                    self._deliver_convictions(other, convictions)
 
-    def _hear_peer(self, host, peer, load):
+    def _deliver_peer_load(self, host, peer, load):
         def act():
             scheduler = host.scheduler
-            host.run(scheduler.on_peer_load(self.clock.now_s, peer, load))
+            host.execute(scheduler.on_peer_load(self.clock.now_s, peer, load))
 
         return act
 
-    def _hear_convictions(self, host, convictions):
+    def _deliver_convictions(self, host, convictions):
         def act():
             quarantine = host.scheduler.quarantine
             for fingerprint, reason in convictions.items():
@@ -229,8 +241,8 @@
 
         self.clock.after(GOSSIP_LAG_S, act)
 
-    def _tell_crash(self, host, suspicions):
-        """Tell the peers what ran on an engine that crashed, once."""
+    def _send_suspicions(self, host, suspicions):
+        """Send the requests that ran on a crashed engine to the other hosts, once."""
         for other in self.hosts:
             if other is host:
                 continue
@@ -242,7 +254,7 @@
                 ),
             )
 
-    def _report(self):
+    def _send_reports(self):
         lag_s = self.scenario.report_lag_s
         for engine in self.fleet.values():
             if not engine.alive:
@@ -250,23 +262,24 @@
             report = engine.report()._replace(age_s=lag_s)
             events = engine.take_cache_events()
             for host in self.hosts:
-                self.clock.after(lag_s, self._hear_report(host, report, events))
+                self.clock.after(lag_s, self._deliver_report(host, report, events))
 
-    def _hear_report(self, host, report, events):
+    def _deliver_report(self, host, report, events):
         def act():
             now_s, scheduler = self.clock.now_s, host.scheduler
-            host.run(scheduler.on_report(now_s, report))
+            host.execute(scheduler.on_report(now_s, report))
             scheduler.on_cache_events(now_s, report.endpoint, *events)
 
         return act
 
-    def _tick(self):
+    def _tick_hosts(self):
         for host in self.hosts:
             host.tick()
 
-    def _steer(self):
+    def _plan_changes(self):
+        """Plan and order role changes, and the loads of a rollout."""
         demands = [host.scheduler.demand() for host in self.hosts]
-        self._steer_loads(demands)
+        self._plan_rollout(demands)
         if self.planner is None:
             return
         roles = {}
@@ -277,16 +290,16 @@
             self.clock.now_s, roles, demands, set(self.changing)
         )
         for change in changes:
-            self._order(change.endpoint, change.role)
+            self._order_change(change.endpoint, change.role)
 
-    def _steer_loads(self, demands):
+    def _plan_rollout(self, demands):
         if self.rollout is None:
             return
         engines = {}
         for name, engine in self.fleet.items():
             if engine.alive:
                 engines[name] = ("model", engine.version, len(engine.batch))
-        # The deciders without a demand of their own roll out one engine at a time.
+        # Deciders that measure no demand update one engine at a time.
         need = len(engines) - 1
         if demands and demands[0]:
             need = engines_needed(demands)
@@ -294,15 +307,18 @@
             self.clock.now_s, engines, ("model", "2"), need, set(self.changing)
         )
         for order in orders:
-            self._order_load(order.endpoint)
+            self._order_model_load(order.endpoint)
 
-    def _order_load(self, name):
+    def _order_model_load(self, name):
         engine = self.fleet[name]
         loads = 1 + sum(1 for goal in self.changing.values() if goal == engine.role)
-        self._order(name, engine.role, LOAD_S * max(1, loads), "2")
+        self._order_change(name, engine.role, MODEL_LOAD_S * max(1, loads), "2")
 
-    def _order(self, name, role, seconds=None, version=None):
-        """Tell the hosts first, then the engine: it must not refuse placed work."""
+    def _order_change(self, name, role, seconds=None, version=None):
+        """Stop the hosts from sending work to an engine, then change it.
+
+        The engine is told last, since it refuses requests while it changes.
+        """
         self.changing[name] = role
         for host in self.hosts:
             self.clock.after(
@@ -317,25 +333,30 @@
             engine.version = version or engine.version
             self.changing.pop(name, None)
             for host in self.hosts:
-                self.clock.after(GOSSIP_LAG_S, self._hear_role(host, name, engine))
+                self.clock.after(GOSSIP_LAG_S, self._deliver_role(host, name, engine))
 
         self.clock.after(ORDER_LAG_S, lambda: engine.change(seconds, apply))
 
-    def _hear_role(self, host, name, engine):
+    def _deliver_role(self, host, name, engine):
         def act():
-            if name in host.view:
-                host.view = {**host.view, name: (engine.zone, engine.role)}
+            if name in host.known_endpoints:
+                host.known_endpoints = {
+                    **host.known_endpoints,
+                    name: (engine.zone, engine.role),
+                }
             host.set_leaving(self.changing)
 
         return act
 
     def _fault(self, kind, value):
+        """Return the action that applies a fault of the scenario."""
+
         def act():
             engines = list(self.fleet.values())
             if kind == "slow":
                 engines[value].speed = 0.2
             if kind == "withdraw":
-                self._lose(engines[value])
+                self._withdraw(engines[value])
             if kind == "black_hole":
                 engines[value].black_hole = True
             if kind == "heal":
@@ -350,7 +371,7 @@
 
         return act
 
-    def _lose(self, engine):
+    def _withdraw(self, engine):
         engine.crash(restart_s=None)
         self.changing.pop(engine.name, None)
 
@@ -358,6 +379,7 @@
         self.changing.pop(engine.name, None)
 
     def _sample(self):
+        """Record how many engines serve in each role, and how many are away."""
         roles = Counter()
         for name, engine in self.fleet.items():
             if not engine.alive:
@@ -374,71 +396,78 @@
         poison = request.fingerprint == "poison"
         if outcome.code == "done" or (poison and outcome.code == "crashing_request"):
             return
-        again_s = None
-        if self.scenario.obey and outcome.retry_after_s is not None:
-            again_s = outcome.retry_after_s
-        if self.scenario.repeat_failed and poison:
-            again_s = 1.0
-        if again_s is not None:
-            self._come_again(host, arrival, request, again_s)
-
-    def _come_again(self, host, arrival, request, again_s):
-        """Send it once more, as a new request of the same content.
-
-        Callers keep the address of a host for a while, so that one that was told to
-        come back comes back to the same; one that failed tries any.
+        resend_delay_s = None
+        if self.scenario.obey_retry_after and outcome.retry_after_s is not None:
+            resend_delay_s = outcome.retry_after_s
+        if self.scenario.resend_failed and poison:
+            resend_delay_s = 1.0
+        if resend_delay_s is not None:
+            self._schedule_resend(host, arrival, request, resend_delay_s)
+
+    def _schedule_resend(self, host, arrival, request, resend_delay_s):
+        """Send a request again later, as a new request with the same content.
+
+        Callers cache the address of a host, so a refused caller returns to the same
+        host; the caller of a failed request tries any host.
         """
-        turn = 1 + int(request.request_id.partition("~")[2] or 0)
-        if request.fingerprint != "poison" and turn > 3:
+        resend_count = 1 + int(request.request_id.partition("~")[2] or 0)
+        # Callers give up after three resends; the crashing request returns without end.
+        if request.fingerprint != "poison" and resend_count > 3:
             return
 
         def act():
             now_s = self.clock.now_s
             span_s = request.deadline_s - request.arrived_s
-            again = request._replace(
-                request_id=f"{arrival.request.request_id}~{turn}",
+            resent = request._replace(
+                request_id=f"{arrival.request.request_id}~{resend_count}",
                 arrived_s=now_s,
                 deadline_s=now_s + span_s,
             )
-            back = host if self.scenario.obey else self.draw.choice(self.hosts)
-            back.submit(arrival, again)
+            target = (
+                host if self.scenario.obey_retry_after else self.rng.choice(self.hosts)
+            )
+            target.submit(arrival, resent)
 
-        self.clock.after(again_s, act)
+        self.clock.after(resend_delay_s, act)
 
     def _result(self):
+        """Compute the measures of the run; the last send of a request counts."""
         last = {}
         refusals = comebacks = comebacks_in = 0
         for arrival, request, outcome in self.outcomes:
             last[arrival.request.request_id] = (arrival, request, outcome)
             refused = outcome.code in ("overloaded", "no_endpoint", "deadline_passed")
             refusals += refused
-            # Only what came back after being told when counts; each comeback once.
+            # Counts only requests sent again after Retry-After, each of them once.
             if "~" in request.request_id and request.fingerprint != "poison":
                 comebacks += 1
                 comebacks_in += not refused
         on_time, goodput_s, late, failed = 0, 0.0, 0, 0
-        urgent, classes = [], Counter()
-        innocents = 0
+        urgent_waits_s, on_time_by_rank = [], Counter()
+        innocents_lost = 0
         for arrival, request, outcome in last.values():
             rank = self.user.policy.classes[request.class_name].rank
-            good = outcome.code == "done" and outcome.at_s <= request.deadline_s
+            is_on_time = outcome.code == "done" and outcome.at_s <= request.deadline_s
             if outcome.code == "done" and rank == 0:
-                urgent.append(outcome.first_token_s - request.arrived_s)
-            late += outcome.code == "done" and not good
+                urgent_waits_s.append(outcome.first_token_s - request.arrived_s)
+            late += outcome.code == "done" and not is_on_time
             failed += outcome.code == "endpoint_failed"
             lost = outcome.code in ("endpoint_failed", "crashing_request")
+            # Counts idempotent requests only, other than the crashing one.
             if lost and request.fingerprint != "poison":
-                innocents += request.idempotent
-            if good:
+                innocents_lost += request.idempotent
+            if is_on_time:
                 on_time += 1
                 goodput_s += arrival.work_s
-                classes[rank] += 1
-        asked = Counter()
+                on_time_by_rank[rank] += 1
+        requests_by_rank = Counter()
         for arrival in self.arrivals:
             rank = self.user.policy.classes[arrival.request.class_name].rank
-            asked[rank] += 1
-        urgent.sort()
-        p95_s = urgent[int(0.95 * len(urgent))] if urgent else 0.0
+            requests_by_rank[rank] += 1
+        urgent_waits_s.sort()
+        p95_s = (
+            urgent_waits_s[int(0.95 * len(urgent_waits_s))] if urgent_waits_s else 0.0
+        )
         bound_s = self.bound_s()
         busy_s = sum(engine.busy_s for engine in self.fleet.values())
         return Result(
@@ -455,18 +484,18 @@
             late,
             failed,
             round(p95_s, 3),
-            round(classes[0] / max(1, asked[0]), 4),
-            round(classes[2] / max(1, asked[2]), 4),
+            round(on_time_by_rank[0] / max(1, requests_by_rank[0]), 4),
+            round(on_time_by_rank[2] / max(1, requests_by_rank[2]), 4),
             comebacks,
             comebacks_in,
             sum(engine.crashes for engine in self.fleet.values()),
-            innocents,
+            innocents_lost,
             round(busy_s - goodput_s, 1),
             self.least_serving,
         )
 
     def bound_s(self):
-        """Return the clairvoyant bound for this run, in engine seconds."""
+        """Return the upper bound of the goodput of this run, in engine seconds."""
         speeds = [1.0] * self.user.engines
         capacity = [(0.0, float(self.user.engines))]
         for at_s, kind, value in sorted(self.scenario.faults, key=lambda item: item[0]):
@@ -478,8 +507,8 @@
                 speeds[value] = 1.0
             capacity.append((at_s * self.time_scale, sum(speeds)))
         arrivals = self.arrivals
-        if self.scenario.obey:
-            # Callers who come again have until the end, for the bound as well.
+        if self.scenario.obey_retry_after:
+            # Requests that are sent again have until the end, in the bound as well.
             arrivals = []
             for arrival in self.arrivals:
                 request = arrival.request._replace(deadline_s=self.end_s)
--- a/bench/tests/test_bounds.py
+++ b/bench/tests/test_bounds.py
@@ -1,4 +1,4 @@
-"""Each scenario, shortened, stays within the bounds of bounds.yaml."""
+"""Shortened scenarios of the bench against the bounds of bounds.yaml."""
 
 import pathlib
 
@@ -13,7 +13,7 @@
 
 @pytest.mark.parametrize(("user", "name"), CASES)
 def test_scenario_stays_within_its_bounds(user, name):
-    """What callers saw is no worse than what was measured when the bound was set."""
+    """No measure is worse than the bound, which was measured when it was set."""
     bounds = BOUNDS["scenarios"][name][user]
     _, result = run_scenario(user, name, "policy", BOUNDS["time_scale"])
     seen = result._asdict()
@@ -24,14 +24,14 @@
 
 
 def test_same_seed_gives_the_same_run():
-    """The bench is deterministic, so that a bound can't fail by chance."""
+    """Guards against bounds that fail by chance because a run isn't deterministic."""
     first = run_scenario("hanbit", "bursts", "policy", 0.1)[1]
     again = run_scenario("hanbit", "bursts", "policy", 0.1)[1]
     assert first == again
 
 
 def test_no_decider_beats_the_clairvoyant_bound():
-    """The bound is honest: no run does more on-time work than it allows."""
+    """Guards against an upper bound that a decider exceeds."""
     for decider in ("policy", "static", "least_loaded", "eager"):
         result = run_scenario("khadra", "saturation", decider, 0.1)[1]
         assert result.goodput_s <= result.bound_s
--- a/bench/virtual_time.py
+++ b/bench/virtual_time.py
@@ -1,11 +1,11 @@
-"""A virtual clock: events run in the order of their times, with no waiting."""
+"""A virtual clock that runs events in the order of their times, without waiting."""
 
 import heapq
 from collections.abc import Callable
 
 
 class VirtualClock:
-    """Time and the events that are due.
+    """The present virtual time, and the queue of events.
 
     Attributes
     ----------
@@ -15,31 +15,31 @@
 
     def __init__(self):
         self.now_s = 0.0
-        self._due = []
+        self._queue = []
         self._count = 0
 
     def at(self, time_s: float, action: Callable[[], None]) -> None:
-        """Run an action at a time, or now if that has passed."""
+        """Schedule an action for a time, or for now if that time has passed."""
         self._count += 1
         entry = (max(time_s, self.now_s), self._count, action)
-        heapq.heappush(self._due, entry)
+        heapq.heappush(self._queue, entry)
 
     def after(self, delay_s: float, action: Callable[[], None]) -> None:
-        """Run an action after a delay."""
+        """Schedule an action after a delay."""
         self.at(self.now_s + delay_s, action)
 
     def every(self, period_s: float, first_s: float, action: Callable) -> None:
-        """Run an action again and again."""
+        """Schedule an action at ``first_s`` and then every ``period_s``."""
 
-        def again():
+        def repeat():
             action()
-            self.after(period_s, again)
+            self.after(period_s, repeat)
 
-        self.at(first_s, again)
+        self.at(first_s, repeat)
 
     def run_until(self, end_s: float) -> None:
-        """Run all events up to a time."""
-        while self._due and self._due[0][0] <= end_s:
-            self.now_s, _, action = heapq.heappop(self._due)
+        """Run all events up to a time, and set the clock to it."""
+        while self._queue and self._queue[0][0] <= end_s:
+            self.now_s, _, action = heapq.heappop(self._queue)
             action()
         self.now_s = end_s
--- a/bench/workload.py
+++ b/bench/workload.py
@@ -1,29 +1,35 @@
-"""Seeded arrivals for both users' sizes and zones."""
+"""Draws the arrivals of a run from a seed, for the fleets of two users."""
 
 import random
 from typing import NamedTuple
 
 from gypsumusher_policy import ClassPolicy, DeploymentPolicy, Request
 
+# Tokens of one prefix chunk; the same as in `engine_model`.
 PREFIX_TOKENS = 64
 
 
-class Kind(NamedTuple):
-    """One kind of work: its class, mean sizes in tokens, and its tenants."""
+class RequestKind(NamedTuple):
+    """One kind of request: its class, mean sizes in tokens and relative frequency.
+
+    ``shared_chunks`` is the length of the prefix that all requests of a tenant share,
+    in chunks of `PREFIX_TOKENS`.
+    """
 
     name: str
     class_name: str
     prompt_tokens: int
     output_tokens: int
-    shared_parts: int
+    shared_chunks: int
     idempotent: bool
     weight: float
 
 
 class User(NamedTuple):
-    """One user's fleet and work.
+    """The fleet and the requests of one user.
 
-    ``reading`` kinds are mostly prompt, ``writing`` kinds mostly output.
+    ``prefill_heavy`` kinds have mostly prompt tokens, ``decode_heavy`` kinds mostly
+    output tokens.
     """
 
     name: str
@@ -31,22 +37,22 @@
     hosts: int
     engines: int
     zone_delay_s: float
-    reading: tuple[Kind, ...]
-    writing: tuple[Kind, ...]
+    prefill_heavy: tuple[RequestKind, ...]
+    decode_heavy: tuple[RequestKind, ...]
     policy: DeploymentPolicy
 
 
 class Phase(NamedTuple):
-    """A stretch of time with a load and a mix.
+    """A period with a constant load and mix.
 
     Parameters
     ----------
     seconds : float
-        Length.
+        Duration.
     load : float
         Arriving work as a share of the fleet's engine seconds.
     prefill_share : float
-        Share of the work that is prompt processing.
+        Share of the work that is prefill.
     """
 
     seconds: float
@@ -55,9 +61,9 @@
 
 
 class Arrival(NamedTuple):
-    """A request with what only the engine knows: how long its answer gets.
+    """A request, and the length of its output, which only the engine knows.
 
-    ``work_s`` is its least work in engine seconds: a prefix seen before costs nothing.
+    ``work_s`` is its minimum work in engine seconds, with every known prefix cached.
     """
 
     request: Request
@@ -80,14 +86,14 @@
     6,
     0.0005,
     (
-        Kind("bundle", "bulk", 6000, 60, 6, True, 0.6),
-        Kind("notice", "standard", 2500, 40, 4, True, 1.0),
-        Kind("counter", "counter", 500, 30, 2, True, 1.5),
+        RequestKind("bundle", "bulk", 6000, 60, 6, True, 0.6),
+        RequestKind("notice", "standard", 2500, 40, 4, True, 1.0),
+        RequestKind("counter", "counter", 500, 30, 2, True, 1.5),
     ),
     (
-        Kind("draft", "standard", 500, 500, 4, True, 1.0),
-        Kind("demand", "standard", 300, 300, 2, False, 0.5),
-        Kind("check", "counter", 200, 60, 2, True, 1.5),
+        RequestKind("draft", "standard", 500, 500, 4, True, 1.0),
+        RequestKind("demand", "standard", 300, 300, 2, False, 0.5),
+        RequestKind("check", "counter", 200, 60, 2, True, 1.5),
     ),
     _policy(
         "letter-models",
@@ -108,14 +114,14 @@
     6,
     0.0015,
     (
-        Kind("history", "standard", 4000, 80, 20, True, 1.0),
-        Kind("review", "bulk", 9000, 150, 4, True, 0.2),
-        Kind("confirm", "counter", 800, 30, 8, True, 1.5),
+        RequestKind("history", "standard", 4000, 80, 20, True, 1.0),
+        RequestKind("review", "bulk", 9000, 150, 4, True, 0.2),
+        RequestKind("confirm", "counter", 800, 30, 8, True, 1.5),
     ),
     (
-        Kind("quote", "standard", 700, 450, 6, False, 1.0),
-        Kind("reply", "standard", 400, 250, 4, False, 0.6),
-        Kind("ack", "counter", 200, 50, 2, True, 1.5),
+        RequestKind("quote", "standard", 700, 450, 6, False, 1.0),
+        RequestKind("reply", "standard", 400, 250, 4, False, 0.6),
+        RequestKind("ack", "counter", 200, 50, 2, True, 1.5),
     ),
     _policy(
         "usher-llm",
@@ -136,84 +142,95 @@
     Parameters
     ----------
     user : User
-        Whose work it is.
+        The fleet and the requests.
     phases : list of Phase
         Loads and mixes, one after another.
     seed : int
         Seed of the draws.
     settings : EngineSettings
-        Rates by which work is counted.
+        Rates that convert tokens to engine seconds.
     skew : float
         Exponent of the tenants' Zipf weights; 1 is mild.
     engines : int, optional
-        Fleet size when it differs from the user's.
+        Fleet size; default: that of the user.
     """
-    draw = random.Random(seed)
+    rng = random.Random(seed)
     engines = engines or user.engines
     tenants = [f"tenant-{number}" for number in range(40)]
     weights = [1.0 / (number + 1) ** skew for number in range(40)]
     seen, arrivals = set(), []
     start_s = 0.0
     for phase in phases:
-        kinds, odds, rate_per_s = _mix(user, phase, settings, engines)
+        kinds, probabilities, rate_per_s = _mix(user, phase, settings, engines)
         now_s = start_s
         while True:
-            now_s += draw.expovariate(rate_per_s)
+            now_s += rng.expovariate(rate_per_s)
             if now_s >= start_s + phase.seconds:
                 break
-            kind = draw.choices(kinds, odds)[0]
-            tenant = draw.choices(tenants, weights)[0]
+            kind = rng.choices(kinds, probabilities)[0]
+            tenant = rng.choices(tenants, weights)[0]
             number = len(arrivals)
             arrivals.append(
-                _arrival(user, kind, tenant, number, now_s, draw, settings, seen)
+                _draw_arrival(user, kind, tenant, number, now_s, rng, settings, seen)
             )
         start_s += phase.seconds
     return arrivals
 
 
-def _kind_work(kind, settings):
-    cached = kind.shared_parts * PREFIX_TOKENS
-    prefill_s = max(1, kind.prompt_tokens - cached) / settings.prefill_tokens_per_s
+def _work_of_kind(kind, settings):
+    cached_tokens = kind.shared_chunks * PREFIX_TOKENS
+    prefill_s = (
+        max(1, kind.prompt_tokens - cached_tokens) / settings.prefill_tokens_per_s
+    )
     return prefill_s, kind.output_tokens / settings.decode_tokens_per_s
 
 
 def _mean_work(kinds, settings):
+    """Return the mean prefill and decode work of a request, in engine seconds."""
     total = sum(kind.weight for kind in kinds)
     sums = [0.0, 0.0]
     for kind in kinds:
-        for place, seconds in enumerate(_kind_work(kind, settings)):
-            sums[place] += kind.weight / total * seconds
+        for index, seconds in enumerate(_work_of_kind(kind, settings)):
+            sums[index] += kind.weight / total * seconds
     return sums
 
 
 def _mix(user, phase, settings, engines):
-    """Return kinds, odds and arrivals a second that give a phase its work."""
-    read_p, read_d = _mean_work(user.reading, settings)
-    write_p, write_d = _mean_work(user.writing, settings)
+    """Return kinds, their probabilities and the arrival rate of a phase."""
+    # Mean work of a request of the prefill-heavy and of the decode-heavy kinds.
+    prompt_prefill_s, prompt_decode_s = _mean_work(user.prefill_heavy, settings)
+    output_prefill_s, output_decode_s = _mean_work(user.decode_heavy, settings)
     share = phase.prefill_share
-    # Solve a * reading + (1 - a) * writing for the wanted share of prompt work.
-    read_gap = read_p - share * (read_p + read_d)
-    write_gap = write_p - share * (write_p + write_d)
-    reading = min(1.0, max(0.0, -write_gap / (read_gap - write_gap)))
-    work_s = reading * (read_p + read_d) + (1 - reading) * (write_p + write_d)
-    kinds, odds = [], []
-    for group, part in ((user.reading, reading), (user.writing, 1 - reading)):
+    # Solve a * prefill_heavy + (1 - a) * decode_heavy for the share of prefill work.
+    prompt_gap_s = prompt_prefill_s - share * (prompt_prefill_s + prompt_decode_s)
+    output_gap_s = output_prefill_s - share * (output_prefill_s + output_decode_s)
+    prefill_heavy_share = min(
+        1.0, max(0.0, -output_gap_s / (prompt_gap_s - output_gap_s))
+    )
+    work_s = prefill_heavy_share * (prompt_prefill_s + prompt_decode_s) + (
+        1 - prefill_heavy_share
+    ) * (output_prefill_s + output_decode_s)
+    kinds, probabilities = [], []
+    for group, group_share in (
+        (user.prefill_heavy, prefill_heavy_share),
+        (user.decode_heavy, 1 - prefill_heavy_share),
+    ):
         total = sum(kind.weight for kind in group)
         for kind in group:
             kinds.append(kind)
-            odds.append(part * kind.weight / total)
-    return kinds, odds, phase.load * engines / work_s
+            probabilities.append(group_share * kind.weight / total)
+    return kinds, probabilities, phase.load * engines / work_s
 
 
-def _arrival(user, kind, tenant, number, now_s, draw, settings, seen):
-    scale = draw.uniform(0.5, 1.5)
+def _draw_arrival(user, kind, tenant, number, now_s, rng, settings, seen):
+    scale = rng.uniform(0.5, 1.5)
     prompt_tokens = max(
-        kind.shared_parts * PREFIX_TOKENS, int(kind.prompt_tokens * scale)
+        kind.shared_chunks * PREFIX_TOKENS, int(kind.prompt_tokens * scale)
     )
-    output_tokens = max(1, int(kind.output_tokens * draw.uniform(0.5, 1.5)))
+    output_tokens = max(1, int(kind.output_tokens * rng.uniform(0.5, 1.5)))
     prefix = []
-    for part in range(kind.shared_parts):
-        prefix.append(_hash(kind, tenant, part))
+    for chunk in range(kind.shared_chunks):
+        prefix.append(_prefix_hash(kind, tenant, chunk))
     known = sum(1 for item in prefix if item in seen)
     seen.update(prefix)
     left_tokens = max(1, prompt_tokens - known * PREFIX_TOKENS)
@@ -235,9 +252,9 @@
     return Arrival(request, output_tokens, work_s, kind.name)
 
 
-def _hash(kind, tenant, part):
-    """Return a hash that is the same in every process."""
+def _prefix_hash(kind, tenant, chunk):
+    """Return the hash of a prefix chunk, which is the same in every process."""
     value = 0
-    for char in f"{kind.name}/{tenant}/{part}":
+    for char in f"{kind.name}/{tenant}/{chunk}":
         value = (value * 1_000_003 + ord(char)) & 0xFFFFFFFFFFFF
     return value
