--- a/bench/engine_model.py
+++ b/bench/engine_model.py
@@ -278,9 +278,9 @@
 
     def _end_step(self):
         """Report first tokens and finished jobs, or crash on the crashing request."""
-        fingerprint = self.crash_fingerprint
-        if fingerprint and any(
-            job.request.fingerprint == fingerprint for job in self.batch
+        crash_fingerprint = self.crash_fingerprint
+        if crash_fingerprint and any(
+            job.request.fingerprint == crash_fingerprint for job in self.batch
         ):
             self.stepping = False
             self.crash(restart_s=30.0)
