--- a/libs/entry/tests/host_harness.py
+++ b/libs/entry/tests/host_harness.py
@@ -12,7 +12,7 @@
 
 from gypsumusher_entry.host import EntryHost
 from gypsumusher_ports import Bounds, HostSettings
-from gypsumusher_standins.object_store import ObjectStore
+from gypsumusher_standins.object_store_server import ObjectStoreServer
 
 __all__ = [
     "IDEMPOTENT_ROUTE",
@@ -59,7 +59,7 @@
         self.endpoints = [ScriptedEndpoint(script) for script in scripts]
         self.routes = routes
         self.log_lines = []
-        self.store = ObjectStore()
+        self.store = ObjectStoreServer()
 
     def log(self, level, event, **fields):
         self.log_lines.append((event, fields))
@@ -119,9 +119,9 @@
 
     Attributes
     ----------
-    store : ObjectStore
+    store : ObjectStoreServer
         Store of the first host.
-    other_store : ObjectStore
+    other_store : ObjectStoreServer
         Store of the second host: it refuses all calls until its fault is removed.
     link : Proxy
         Connection between the hosts.
@@ -133,8 +133,8 @@
         Log lines of the second host.
     """
 
-    store: ObjectStore
-    other_store: ObjectStore
+    store: ObjectStoreServer
+    other_store: ObjectStoreServer
     link: Proxy
     context: object
     session: aiohttp.ClientSession
@@ -144,7 +144,7 @@
 @contextlib.asynccontextmanager
 async def host_without_store(*endpoint_addresses):
     """Start two hosts with some endpoints; only the first can read the store."""
-    store, refusing_store = ObjectStore(), ObjectStore()
+    store, refusing_store = ObjectStoreServer(), ObjectStoreServer()
     refusing_store.fault = "refuse"
     address, refusing_address = await store.start(), await refusing_store.start()
     store.put("config", "main", configuration(1, IDEMPOTENT_ROUTE))
--- a/libs/entry/tests/test_host.py
+++ b/libs/entry/tests/test_host.py
@@ -22,7 +22,7 @@
 from replies import ScriptedEndpoint, answer_to, chunk, request_id_of
 
 from gypsumusher_entry.host import EntryHost
-from gypsumusher_standins.object_store import ObjectStore
+from gypsumusher_standins.object_store_server import ObjectStoreServer
 
 
 async def healthy(number, head, body, writer):
@@ -368,7 +368,7 @@
         async with HostHarness(healthy) as harness:
             context = harness.host.context
             harness.store.fault = "refuse"
-            harness.store.forget_history()
+            harness.store.drop_event_history()
             await until(
                 lambda: any(
                     event == "dependency_lost" for event, _ in harness.log_lines
@@ -447,7 +447,7 @@
     # The store serves one host and refuses the other when a new configuration is
     # stored. The refused host has to get it from its peer.
     async def scenario():
-        store, refusing_store = ObjectStore(), ObjectStore()
+        store, refusing_store = ObjectStoreServer(), ObjectStoreServer()
         refusing_store.fault = "refuse"
         address, refusing_address = await store.start(), await refusing_store.start()
         store.put("config", "main", configuration(1, IDEMPOTENT_ROUTE))
--- a/libs/entry/tests/test_store_calls.py
+++ b/libs/entry/tests/test_store_calls.py
@@ -7,7 +7,7 @@
 
 from gypsumusher_entry import store_watcher
 from gypsumusher_entry.host import EntryHost
-from gypsumusher_standins.object_store import ObjectStore
+from gypsumusher_standins.object_store_server import ObjectStoreServer
 
 HOSTS, CHANGES = 8, 20
 # Of eight hosts four are active, and three of these watch the store for all.
@@ -22,7 +22,7 @@
     """Eight hosts in one process, with one store."""
 
     def __init__(self):
-        self.store = ObjectStore()
+        self.store = ObjectStoreServer()
         self.hosts = []
         self.changes = 0
 
@@ -133,10 +133,10 @@
     async def scenario():
         async with HostGroup() as group:
             group.store.fault = "refuse"
-            group.store.forget_history()
+            group.store.drop_event_history()
             await until(lambda: not any(h.context.sees_store for h in group.hosts))
             group.store.fault = ""
-            group.store.forget_history()
+            group.store.drop_event_history()
             await group.until_watchers_agreed()
             contexts = [host.context for host in group.hosts]
             assert any(c.endpoints.is_in_grace_period(c.clock()) for c in contexts)
--- a/libs/standins/gypsumusher_standins/object_store.py
+++ b/libs/standins/gypsumusher_standins/object_store_server.py
@@ -5,10 +5,10 @@
 
 from aiohttp import web
 
-__all__ = ["ObjectStore"]
+__all__ = ["ObjectStoreServer"]
 
 
-class ObjectStore:
+class ObjectStoreServer:
     """Objects by kind and name, with revisions, conditional changes and watches.
 
     Attributes
@@ -16,7 +16,7 @@
     fault : str
         Empty, or what every call meets: ``refuse`` (503), ``silent`` (no answer),
         ``lost`` (done, and the connection closed) or ``stale`` (lists and single reads
-        tell what stood when the fault began; see `freeze`).
+        tell what stood when the fault began; see `start_stale_reads`).
     calls : list of (str, str)
         Method and path of each call.
     """
@@ -80,14 +80,14 @@
         self.revision += 1
         self._note(kind, item, True)
 
-    def forget_history(self):
+    def drop_event_history(self):
         """Drop the events so far, so that watches from before are told so."""
         self._oldest = self.revision
         self._events.clear()
         self._changed.set()
         self._changed = asyncio.Event()
 
-    def freeze(self):
+    def start_stale_reads(self):
         """Have reads tell of the past from now on, until the fault is taken back."""
         self._frozen = (dict(self._objects), self.revision)
         self.fault = "stale"
--- a/soak/injection.py
+++ b/soak/injection.py
@@ -136,19 +136,19 @@
 
 
 async def _store_forget(world, _, for_s):
-    world.store.forget_history()
+    world.store.drop_event_history()
 
 
 async def _store_stale(world, _, for_s):
-    world.store.freeze()
+    world.store.start_stale_reads()
     # Something to be wrong about, and a reason to read anew.
     await asyncio.sleep(for_s / 2.0)
     world.write_configuration()
     await asyncio.sleep(STALE_AFTER_S)
-    world.store.forget_history()
+    world.store.drop_event_history()
     await asyncio.sleep(for_s / 2.0)
     world.store.fault = ""
-    world.store.forget_history()
+    world.store.drop_event_history()
 
 
 async def _store_lapse(world, _, for_s):
--- a/soak/world.py
+++ b/soak/world.py
@@ -17,7 +17,7 @@
 from gypsumusher_entry.peer_sync import PEER_SYNC_PATH
 from gypsumusher_entry.sync_messages import decode_sync_response
 from gypsumusher_ports import DecodeError
-from gypsumusher_standins.object_store import ObjectStore
+from gypsumusher_standins.object_store_server import ObjectStoreServer
 
 __all__ = ["World"]
 
@@ -47,7 +47,7 @@
         self.seed = seed
         self.records = Records()
         self.folder = pathlib.Path(tempfile.mkdtemp(prefix="gypsumusher-soak-"))
-        self.store = ObjectStore()
+        self.store = ObjectStoreServer()
         self.hosts = []
         self.backends = []
         self.links = []
--- a/tests/test_platform_store.py
+++ b/tests/test_platform_store.py
@@ -7,7 +7,7 @@
 from proxies import Proxy
 
 from gypsumusher_platform import StoreClient
-from gypsumusher_standins.object_store import ObjectStore
+from gypsumusher_standins.object_store_server import ObjectStoreServer
 
 
 def run(coroutine):
@@ -18,7 +18,7 @@
     """A stand-in for the platform's store, and a client connected to it."""
 
     async def __aenter__(self):
-        self.store = ObjectStore()
+        self.store = ObjectStoreServer()
         self.client = StoreClient(await self.store.start(), 0.3, time.monotonic)
         return self
 
@@ -62,9 +62,9 @@
             changes = (await watch).unwrap()
             assert [item.is_deleted for item in changes.changes] == [True]
             assert changes.revision > listing.revision
-            fixture.store.forget_history()
+            fixture.store.drop_event_history()
             fixture.store.put("servers", "e-2", {})
-            fixture.store.forget_history()
+            fixture.store.drop_event_history()
             gone = fixture.client.watch("servers", listing.revision, 1.0)
             assert await fixture.error_code(gone) == "history_gone"
 
@@ -101,7 +101,7 @@
     # and a slow link, each read exceeded a limit on its total time and began anew, so
     # that the host refused all callers.
     async def scenario():
-        store = ObjectStore()
+        store = ObjectStoreServer()
         link = Proxy(await store.start())
         client = StoreClient(await link.start(), 0.3, time.monotonic)
         content = configuration(1, *many_routes(1400, {"kind": "idempotent"}))
