--- a/libs/standins/gypsumusher_standins/cmdline.py
+++ b/libs/standins/gypsumusher_standins/cmdline.py
@@ -1,4 +1,4 @@
-"""The command line of the stand-ins: one process for each."""
+"""Command line of the stand-ins; each sub-command runs one stand-in process."""
 
 import argparse
 import asyncio
@@ -8,14 +8,14 @@
 from gypsumusher_standins.service import run_service
 
 
-def add_common(parser):
-    """Add the options that every stand-in has."""
+def add_address_options(parser):
+    """Add the address options, which every stand-in has."""
     parser.add_argument("--ip", default="127.0.0.1")
     parser.add_argument("--port", type=int, default=0)
 
 
-def add_endpoint(parser):
-    """Add the options of an endpoint that the platform lists."""
+def add_endpoint_options(parser):
+    """Add the options of an endpoint that registers itself with the platform."""
     parser.add_argument("--name", required=True)
     parser.add_argument("--zone", default="suwon-a")
     parser.add_argument("--region", default="gyeonggi")
@@ -23,9 +23,12 @@
     parser.add_argument("--platform-token", default="platform-token")
 
 
-def add_engine(parser):
-    """Add the options of an engine; rates are in token time, before --speed."""
-    add_endpoint(parser)
+def add_engine_options(parser):
+    """Add the options of an engine.
+
+    Rates are given in simulated time; ``--speed`` multiplies them.
+    """
+    add_endpoint_options(parser)
     parser.add_argument("--deployment", required=True)
     parser.add_argument(
         "--role", choices=["prefill", "decode", "mixed"], default="mixed"
@@ -53,33 +56,33 @@
 def build_parser():
     """Return the parser with one sub-command for each stand-in."""
     parser = argparse.ArgumentParser(prog="gypsumusher-standin")
-    commands = parser.add_subparsers(dest="command", required=True)
-    platform = commands.add_parser("platform", help="the platform's object API")
-    add_common(platform)
+    subparsers = parser.add_subparsers(dest="command", required=True)
+    platform = subparsers.add_parser("platform", help="the platform's object API")
+    add_address_options(platform)
     platform.add_argument("--token", default="platform-token")
     platform.add_argument("--writes-per-s", type=float, default=400.0)
     platform.add_argument("--reads-per-s", type=float, default=2000.0)
     platform.add_argument("--list-lag-s", type=float, default=0.0)
     platform.set_defaults(run=run_platform)
-    engine = commands.add_parser("engine", help="a model engine")
-    add_common(engine)
-    add_engine(engine)
+    engine = subparsers.add_parser("engine", help="a model engine")
+    add_address_options(engine)
+    add_engine_options(engine)
     engine.set_defaults(run=run_engine)
-    service = commands.add_parser("service", help="a plain service replica")
-    add_common(service)
-    add_endpoint(service)
+    service = subparsers.add_parser("service", help="a plain service replica")
+    add_address_options(service)
+    add_endpoint_options(service)
     service.add_argument("--service", required=True)
     service.set_defaults(run=run_service)
     return parser
 
 
 def main(arguments=None):
-    """Run one stand-in until it is told to stop.
+    """Run one stand-in until the process receives SIGTERM or SIGINT.
 
     Parameters
     ----------
     arguments : list of str, optional
-        The command line; the process's own by default.
+        Command-line arguments; `sys.argv[1:]` by default.
     """
     options = build_parser().parse_args(arguments)
     asyncio.run(options.run(options))
--- a/libs/standins/gypsumusher_standins/engine_orders.py
+++ b/libs/standins/gypsumusher_standins/engine_orders.py
@@ -1,19 +1,21 @@
-"""The order calls of a stand-in engine, and the carrying out of an order."""
+"""HTTP handlers for the orders of a stand-in engine, and their execution."""
 
 import asyncio
 
 from aiohttp import web
 
 from gypsumusher_standins.orders import Order
-from gypsumusher_standins.serving import close_connection
+from gypsumusher_standins.serving import abort_connection
 
+# Interval of the checks whether all accepted requests have finished.
 IDLE_POLL_S = 0.005
+# Simulated time to load an adapter.
 ADAPTER_LOAD_S = 0.05
 ROLES = {"prefill", "decode", "mixed"}
 
 
-async def carry_out(state, order):
-    """Carry out an order that was taken, and note its end."""
+async def execute_order(state, order):
+    """Execute an accepted order and set its final state."""
     goal = order.goal
     if "drain" in goal:
         state.draining = bool(goal["drain"])
@@ -21,11 +23,12 @@
         return
     if "adapter" in goal:
         await asyncio.sleep(ADAPTER_LOAD_S)
-        finish_load(state, order)
+        complete_load(state, order)
         return
-    # No new work is taken from here on, and what was accepted runs to its end.
-    state.changing = True
-    while not state.batch.is_idle():
+    # The engine refuses new requests while it is reconfiguring; the requests that it
+    # has accepted run to their end first.
+    state.reconfiguring = True
+    while not state.scheduler.is_idle():
         await asyncio.sleep(IDLE_POLL_S)
     if "role" in goal:
         await asyncio.sleep(state.options.role_change_s)
@@ -33,12 +36,12 @@
         order.state = "done"
     else:
         await asyncio.sleep(state.options.model_load_s)
-        finish_load(state, order)
-    state.changing = False
+        complete_load(state, order)
+    state.reconfiguring = False
 
 
-def finish_load(state, order):
-    """Put what was loaded into service, unless the weight store failed."""
+def complete_load(state, order):
+    """Activate the loaded model or adapter, or fail if the weight store fails."""
     if state.settings["weight_store_fail"]:
         order.state = "failed"
         order.detail = "weight store"
@@ -51,8 +54,8 @@
     order.state = "done"
 
 
-def is_goal(goal):
-    """Return whether a goal is one that the engine knows."""
+def is_valid_goal(goal):
+    """Return whether a goal asks for a change that the engine supports."""
     if not isinstance(goal, dict):
         return False
     if "role" in goal:
@@ -62,57 +65,63 @@
     return "adapter" in goal or "drain" in goal
 
 
-class OrderCalls:
-    """The handlers of ``/orders``, with the limit on open connections.
+class OrderHandlers:
+    """Handlers of ``/orders``, with the age limit on their connections.
+
+    An order that arrives on a connection older than ``--order-timeout-s`` is not
+    executed. A sender that was suspended after it opened the connection can't have a
+    stale order executed, even on an engine that doesn't check terms.
 
     Parameters
     ----------
     state : EngineState
-        The engine.
-    connections : Connections
-        When each connection was opened.
+        State of the engine.
+    connections : ConnectionTracker
+        Tracker of the engine's connections.
     """
 
     def __init__(self, state, connections):
         self.state = state
         self.connections = connections
         self.tasks = set()
-        connections.on_open = self.limit_connection
+        connections.on_open = self.schedule_close
 
-    def limit_connection(self, handler):
-        """Close a connection at its limit, unless it serves other calls."""
+    def schedule_close(self, protocol):
+        """Close a connection at the age limit, unless it then serves other calls."""
         loop = asyncio.get_running_loop()
-        loop.call_later(self.state.options.order_timeout_s, self._end, handler)
+        loop.call_later(
+            self.state.options.order_timeout_s, self._close_if_for_orders, protocol
+        )
 
-    def _end(self, handler):
-        if self.connections.used_for.get(handler) == "other":
+    def _close_if_for_orders(self, protocol):
+        if self.connections.purposes.get(protocol) == "other":
             return
-        if handler.transport is not None:
-            handler.transport.abort()
+        if protocol.transport is not None:
+            protocol.transport.abort()
 
     def is_expired(self, request):
-        """Return whether a connection is older than the limit for orders.
+        """Return whether the request's connection has reached the age limit.
 
         The event loop may read a late order before it runs the timer that closes the
-        connection, for instance after the whole machine stood still. The order's own
-        handler therefore looks at the age as well.
+        connection, for instance after the whole machine was suspended. The handlers
+        therefore check the age as well.
         """
         limit_s = self.state.options.order_timeout_s
         return self.connections.age_s(request) >= limit_s
 
     async def get(self, request):
-        """Answer ``GET /orders``."""
-        self.connections.used_for[request.protocol] = "orders"
+        """Handle ``GET /orders``: return the newest order."""
+        self.connections.purposes[request.protocol] = "orders"
         if self.is_expired(request):
-            return close_connection(request)
+            return abort_connection(request)
         if self.state.settings["hang_orders"]:
             await asyncio.sleep(self.state.options.order_timeout_s)
-            return close_connection(request)
+            return abort_connection(request)
         return web.json_response(self.state.orders.last_as_json())
 
     async def post(self, request):
-        """Answer ``POST /orders``."""
-        self.connections.used_for[request.protocol] = "orders"
+        """Handle ``POST /orders``: accept an order and start its execution."""
+        self.connections.purposes[request.protocol] = "orders"
         try:
             body = await request.json()
             order_id, term = str(body["order_id"]), int(body["term"])
@@ -120,27 +129,27 @@
         except (ValueError, KeyError, TypeError):
             return web.json_response({"error": {"code": "malformed"}}, status=400)
         if self.is_expired(request):
-            return close_connection(request)
-        if not is_goal(goal):
+            return abort_connection(request)
+        if not is_valid_goal(goal):
             return web.json_response({"error": {"code": "malformed"}}, status=400)
         if self.state.settings["hang_orders"]:
             await asyncio.sleep(self.state.options.order_timeout_s)
-            return close_connection(request)
-        return self._take(request, order_id, term, goal)
-
-    def _take(self, request, order_id, term, goal):
-        log = self.state.orders
-        known = log.find(order_id)
-        if known is not None:
-            return web.json_response(known.as_json())
-        taken = log.take(order_id, term, goal)
-        if not isinstance(taken, Order):
-            error = {"code": taken.code, "term": taken.term}
+            return abort_connection(request)
+        return self._accept(request, order_id, term, goal)
+
+    def _accept(self, request, order_id, term, goal):
+        order_log = self.state.orders
+        existing = order_log.find(order_id)
+        if existing is not None:
+            return web.json_response(existing.as_json())
+        result = order_log.accept(order_id, term, goal)
+        if not isinstance(result, Order):
+            error = {"code": result.code, "term": result.term}
             return web.json_response({"error": error}, status=409)
-        task = asyncio.get_running_loop().create_task(carry_out(self.state, taken))
+        task = asyncio.get_running_loop().create_task(execute_order(self.state, result))
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
-        if self.state.spend("lose_order_answers"):
-            return close_connection(request)
-        answer = {"order_id": order_id, "state": "accepted"}
-        return web.json_response(answer, status=202)
+        if self.state.consume_fault("lose_order_answers"):
+            return abort_connection(request)
+        payload = {"order_id": order_id, "state": "accepted"}
+        return web.json_response(payload, status=202)
--- a/libs/standins/gypsumusher_standins/object_store_server.py
+++ b/libs/standins/gypsumusher_standins/object_store_server.py
@@ -1,4 +1,8 @@
-"""A stand-in of the users' platform's store, for tests on loopback."""
+"""Stand-in of the object store of the users' platform, for tests on loopback.
+
+Its API differs from the one that `gypsumusher_standins.platform` serves. It runs in the
+process of the test, which changes its objects and faults directly.
+"""
 
 import asyncio
 import json
@@ -9,16 +13,17 @@
 
 
 class ObjectStoreServer:
-    """Objects by kind and name, with revisions, conditional changes and watches.
+    """HTTP server of objects with revisions, conditional updates and watches.
 
     Attributes
     ----------
     fault : str
-        Empty, or what every call meets: ``refuse`` (503), ``silent`` (no answer),
-        ``lost`` (done, and the connection closed) or ``stale`` (lists and single reads
-        tell what stood when the fault began; see `start_stale_reads`).
+        Empty, or the fault of every call: ``refuse`` (status 503), ``silent`` (no
+        response), ``lost`` (the call takes effect, and the connection is closed without
+        a response) or ``stale`` (lists and single reads return the objects of when the
+        fault began; see `start_stale_reads`).
     calls : list of (str, str)
-        Method and path of each call.
+        Method and path of each call received.
     """
 
     def __init__(self):
@@ -26,17 +31,17 @@
         self.calls = []
         self.revision = 1
         self._objects = {}
-        self._frozen = ({}, 0)
+        self._stale_snapshot = ({}, 0)
         self._events = []
-        self._oldest = 0
-        self._changed = asyncio.Event()
+        self._oldest_revision = 0
+        self._change_event = asyncio.Event()
         self._runner = None
 
     async def start(self):
-        """Listen on a free port of loopback; return the address."""
+        """Listen on a free port of 127.0.0.1, and return the address ``IP:PORT``."""
         app = web.Application()
-        app.router.add_route("*", "/v1/objects/{kind}", self._serve)
-        app.router.add_route("*", "/v1/objects/{kind}/{name}", self._serve)
+        app.router.add_route("*", "/v1/objects/{kind}", self._handle)
+        app.router.add_route("*", "/v1/objects/{kind}/{name}", self._handle)
         self._runner = web.AppRunner(app, shutdown_timeout=0.1)
         await self._runner.setup()
         site = web.TCPSite(self._runner, "127.0.0.1", 0)
@@ -45,16 +50,22 @@
         return f"127.0.0.1:{port}"
 
     async def close(self):
-        """Stop listening."""
+        """Stop the server."""
         await self._runner.cleanup()
 
-    def put(self, kind, name, content):
-        """Write an object as the operator or an endpoint would."""
-        known = self._objects.get((kind, name))
-        if known is not None and known["spec"] == content:
-            return known
+    def put(self, kind, name, spec):
+        """Create or replace an object; a write of an equal spec changes nothing.
+
+        Returns
+        -------
+        dict
+            The stored object, with its metadata.
+        """
+        existing = self._objects.get((kind, name))
+        if existing is not None and existing["spec"] == spec:
+            return existing
         self.revision += 1
-        created = self.revision if known is None else known["metadata"]["created"]
+        created = self.revision if existing is None else existing["metadata"]["created"]
         item = {
             "metadata": {
                 "name": name,
@@ -63,63 +74,63 @@
                 "finalizers": [],
                 "is_deleting": False,
             },
-            "spec": content,
+            "spec": spec,
             "status": None,
         }
         self._objects[kind, name] = item
-        self._note(kind, item, False)
+        self._record_event(kind, item, False)
         return item
 
     def has(self, kind, name):
-        """Say whether an object stands."""
+        """Return whether an object exists."""
         return (kind, name) in self._objects
 
     def remove(self, kind, name):
-        """Remove an object."""
+        """Delete an existing object."""
         item = self._objects.pop((kind, name))
         self.revision += 1
-        self._note(kind, item, True)
+        self._record_event(kind, item, True)
 
     def drop_event_history(self):
-        """Drop the events so far, so that watches from before are told so."""
-        self._oldest = self.revision
+        """Drop all events so far; a watch from an earlier revision gets status 410."""
+        self._oldest_revision = self.revision
         self._events.clear()
-        self._changed.set()
-        self._changed = asyncio.Event()
+        self._change_event.set()
+        self._change_event = asyncio.Event()
 
     def start_stale_reads(self):
-        """Have reads tell of the past from now on, until the fault is taken back."""
-        self._frozen = (dict(self._objects), self.revision)
+        """Set the fault ``stale``; reads then return the objects as they are now."""
+        self._stale_snapshot = (dict(self._objects), self.revision)
         self.fault = "stale"
 
-    def _note(self, kind, item, is_deleted):
+    def _record_event(self, kind, item, is_deleted):
         self._events.append((self.revision, kind, item, is_deleted))
-        self._changed.set()
-        self._changed = asyncio.Event()
+        self._change_event.set()
+        self._change_event = asyncio.Event()
 
-    async def _serve(self, request):
+    async def _handle(self, request):
         self.calls.append((request.method, request.path))
-        refusal = await self._refuse()
-        if refusal is not None:
-            return refusal
-        answer = await self._answer(request)
-        # A watch that was open when the store went away isn't answered either.
+        fault_response = await self._fault_response()
+        if fault_response is not None:
+            return fault_response
+        response = await self._dispatch(request)
+        # A fault that was set while a watch was waiting applies to the watch as well.
         if request.method == "GET":
-            refusal = await self._refuse()
-            if refusal is not None:
-                return refusal
+            fault_response = await self._fault_response()
+            if fault_response is not None:
+                return fault_response
         if self.fault == "lost" and request.transport is not None:
             request.transport.abort()
-        return answer
+        return response
 
-    async def _refuse(self):
+    async def _fault_response(self):
         if self.fault == "silent":
             await asyncio.Event().wait()
         if self.fault == "refuse":
             return web.json_response({"error": "refused"}, status=503)
         return None
 
-    async def _answer(self, request):
+    async def _dispatch(self, request):
         kind = request.match_info["kind"]
         name = request.match_info.get("name")
         if request.method == "GET":
@@ -127,55 +138,57 @@
                 return await self._watch(request, kind)
             objects, revision = self._objects, self.revision
             if self.fault == "stale":
-                objects, revision = self._frozen
+                objects, revision = self._stale_snapshot
             if name is not None:
-                return self._as_answer(objects.get((kind, name)))
-            items = [item for (other, _), item in objects.items() if other == kind]
+                return self._object_response(objects.get((kind, name)))
+            items = [
+                item for (other_kind, _), item in objects.items() if other_kind == kind
+            ]
             body = {"items": items, "has_more": False, "as_of": revision}
             return web.json_response(body)
         if request.method == "DELETE":
             if (kind, name) not in self._objects:
-                return self._as_answer(None)
+                return self._object_response(None)
             self.remove(kind, name)
             return web.json_response({})
         body = json.loads(await request.read())
         metadata = body["metadata"]
         name = name or metadata["name"]
-        known = self._objects.get((kind, name))
-        if request.method == "POST" and known is not None:
-            return web.json_response(known, status=409)
+        existing = self._objects.get((kind, name))
+        if request.method == "POST" and existing is not None:
+            return web.json_response(existing, status=409)
         if request.method == "PUT":
-            if known is None:
-                return self._as_answer(None)
+            if existing is None:
+                return self._object_response(None)
             if (
-                metadata.get("rev", known["metadata"]["rev"])
-                != known["metadata"]["rev"]
+                metadata.get("rev", existing["metadata"]["rev"])
+                != existing["metadata"]["rev"]
             ):
-                return web.json_response(known, status=409)
-        return self._as_answer(self.put(kind, name, body["spec"]))
+                return web.json_response(existing, status=409)
+        return self._object_response(self.put(kind, name, body["spec"]))
 
     async def _watch(self, request, kind):
         since = int(request.query["watch"])
         loop = asyncio.get_running_loop()
-        ends_s = loop.time() + int(request.query["wait_ms"]) / 1000.0
+        deadline_s = loop.time() + int(request.query["wait_ms"]) / 1000.0
         while True:
-            if since < self._oldest:
+            if since < self._oldest_revision:
                 return web.json_response({"error": "history gone"}, status=410)
             events = [
                 {"object": item, "deleted": is_deleted}
-                for revision, other, item, is_deleted in self._events
-                if other == kind and revision > since
+                for revision, other_kind, item, is_deleted in self._events
+                if other_kind == kind and revision > since
             ]
-            left_s = ends_s - loop.time()
-            if events or left_s <= 0:
+            remaining_s = deadline_s - loop.time()
+            if events or remaining_s <= 0:
                 body = {"events": events, "as_of": self.revision}
                 return web.json_response(body)
             try:
-                await asyncio.wait_for(self._changed.wait(), left_s)
+                await asyncio.wait_for(self._change_event.wait(), remaining_s)
             except TimeoutError:
                 continue
 
-    def _as_answer(self, item):
+    def _object_response(self, item):
         if item is None:
             return web.json_response({"error": "absent"}, status=404)
         return web.json_response(item)
--- a/libs/standins/gypsumusher_standins/orders.py
+++ b/libs/standins/gypsumusher_standins/orders.py
@@ -1,17 +1,21 @@
-"""The orders that a stand-in engine takes, without input or output."""
+"""Orders of a stand-in engine: which ones it accepts and their state; does no I/O.
+
+An order asks an engine to change its role, model, adapters or drain state. The term of
+an order is the fencing token of the lease under which its sender acts.
+"""
 
 from typing import Any, NamedTuple
 
 
 class OrderRefusal(NamedTuple):
-    """Why an order was refused: the code, and the newest term where it is stale."""
+    """Refusal of an order: the error code and the highest term received so far."""
 
     code: str
     term: int
 
 
 class Order:
-    """One order that took effect, and how far it is."""
+    """One accepted order and its state: running, done or failed."""
 
     def __init__(self, order_id, term, goal):
         self.order_id = order_id
@@ -21,7 +25,7 @@
         self.detail = ""
 
     def as_json(self):
-        """Return the order in the form of the engine's answers."""
+        """Return the order as the engine's responses show it."""
         return {
             "order_id": self.order_id,
             "term": self.term,
@@ -32,12 +36,12 @@
 
 
 class OrderLog:
-    """All orders that took effect on one engine.
+    """All orders that one engine has accepted, oldest first.
 
     Parameters
     ----------
     checks_terms : bool
-        Whether an order with an old term is refused.
+        Whether an order with a term below the highest one received is refused.
     """
 
     def __init__(self, checks_terms):
@@ -46,19 +50,20 @@
         self.orders = []
 
     def find(self, order_id):
-        """Return the order with an id, or None."""
+        """Return the order with the given id, or None."""
         for order in self.orders:
             if order.order_id == order_id:
                 return order
         return None
 
-    def take(self, order_id, term, goal):
-        """Take a new order.
+    def accept(self, order_id, term, goal):
+        """Accept or refuse a new order.
 
         Returns
         -------
         Order or OrderRefusal
-            The order, which is now running, or why it was refused.
+            The order, whose state is now running, or the refusal: ``stale_term``, or
+            ``busy`` while the previous order is running.
         """
         if self.checks_terms and term < self.highest_term:
             return OrderRefusal("stale_term", self.highest_term)
@@ -70,7 +75,7 @@
         return order
 
     def last_as_json(self):
-        """Return the newest order, or the answer that there is none."""
+        """Return the newest order as in responses; state ``none`` if there is none."""
         if not self.orders:
             return {"order_id": "", "term": 0, "state": "none", "goal": None}
         return self.orders[-1].as_json()
--- a/libs/standins/gypsumusher_standins/platform.py
+++ b/libs/standins/gypsumusher_standins/platform.py
@@ -1,4 +1,7 @@
-"""A stand-in of the platform: objects, watches, rate limits, host list and faults."""
+"""Stand-in of the platform: versioned objects, watches, rate limits and host list.
+
+It simulates the faults that a test sets by ``POST /control``.
+"""
 
 import asyncio
 import json
@@ -6,44 +9,64 @@
 
 from aiohttp import web
 
-from gypsumusher_standins.objects import ObjectStore, as_json
-from gypsumusher_standins.rates import TokenBucket
 from gypsumusher_standins.serving import (
     MAX_BODY_BYTES,
-    Connections,
-    close_connection,
+    ConnectionTracker,
+    abort_connection,
     serve,
 )
+from gypsumusher_standins.token_bucket import TokenBucket
+from gypsumusher_standins.versioned_objects import VersionedObjects, as_json
 
 MAX_VALUE_BYTES = 1024 * 1024
+# Upper limit on the timeout_s of a watch.
 MAX_WATCH_S = 60.0
 
 
 class PlatformState:
-    """Everything the platform stand-in holds, and the faults that are set.
+    """State of the platform stand-in, including its counters and fault settings.
 
     Parameters
     ----------
     token : str
-        The bearer token that each call has to carry.
+        Bearer token that each call must carry.
     writes_per_s, reads_per_s : float
-        The rate limits.
+        Rate limits on all clients together. Watches count as reads.
     list_lag_s : float
-        Seconds by which the host list lags.
+        Age of the host list that readers get.
+
+    Attributes
+    ----------
+    call_counts : dict
+        Number of calls by client name, then by HTTP method or ``WATCH``.
+    throttled_calls : int
+        Number of calls over a rate limit.
+    held_calls : dict
+        Number of calls that are held at present, by object kind for writes and by
+        method or ``WATCH`` for others.
+    host_list_history : list of (float, dict)
+        Host lists by name, and the times at which each became current.
+    frozen_hosts : dict
+        Host list that readers get while ``list_frozen`` is set.
+    settings : dict
+        Faults. ``lose_answers`` and ``drop_calls`` are the numbers of coming writes
+        whose response is lost after the write took effect, and of coming calls that
+        are dropped before they take effect. A ``..._kind`` setting restricts a fault
+        to one kind of object; ``hang_kind`` may also be a method or ``WATCH``.
     """
 
     def __init__(self, token, writes_per_s, reads_per_s, list_lag_s):
         now_s = asyncio.get_running_loop().time()
         self.token = token
-        self.store = ObjectStore()
-        self.writes = TokenBucket(writes_per_s, now_s)
-        self.reads = TokenBucket(reads_per_s, now_s)
-        self.calls = {}
-        self.throttled = 0
-        self.held = {}
-        self.changed = asyncio.Event()
-        self.host_lists = [(-math.inf, {})]
-        self.frozen_list = {}
+        self.store = VersionedObjects()
+        self.write_bucket = TokenBucket(writes_per_s, now_s)
+        self.read_bucket = TokenBucket(reads_per_s, now_s)
+        self.call_counts = {}
+        self.throttled_calls = 0
+        self.held_calls = {}
+        self.change_event = asyncio.Event()
+        self.host_list_history = [(-math.inf, {})]
+        self.frozen_hosts = {}
         self.settings = {
             "latency_s": 0.0,
             "outage": False,
@@ -61,18 +84,24 @@
             "delay_kind": None,
         }
 
-    def wake(self):
-        """Wake every waiting watch and hung call to look again."""
-        self.changed.set()
-        self.changed = asyncio.Event()
+    def notify_waiters(self):
+        """Wake all waiting watches and held calls to check their conditions again."""
+        self.change_event.set()
+        self.change_event = asyncio.Event()
 
-    def count_call(self, client, verb):
-        """Count one call of a client."""
-        counts = self.calls.setdefault(client, {"GET": 0, "PUT": 0, "WATCH": 0})
-        counts[verb] = counts.get(verb, 0) + 1
+    def count_call(self, client, category):
+        """Count one call of a client by its method, or as ``WATCH``."""
+        counts = self.call_counts.setdefault(client, {"GET": 0, "PUT": 0, "WATCH": 0})
+        counts[category] = counts.get(category, 0) + 1
 
-    def spend(self, setting, kind):
-        """Use up one of a counted fault's occurrences; return whether one was left."""
+    def consume_fault(self, setting, kind):
+        """Decrement the setting of a counted fault, if the fault applies to a kind.
+
+        Returns
+        -------
+        bool
+            Whether the fault applies to this call.
+        """
         wanted_kind = self.settings[setting.split("_")[0] + "_kind"]
         if self.settings[setting] <= 0:
             return False
@@ -81,25 +110,25 @@
         self.settings[setting] -= 1
         return True
 
-    def is_cut(self, client):
-        """Return whether a client is cut off from the platform."""
+    def is_cut_off(self, client):
+        """Return whether the fault ``cut_clients`` disconnects a client."""
         return client in self.settings["cut_clients"]
 
-    def change_hosts(self, change):
-        """Apply a change to a copy of the newest host list, and note when."""
+    def update_hosts(self, change):
+        """Apply a change to a copy of the newest host list, and record the time."""
         now_s = asyncio.get_running_loop().time()
-        newest = dict(self.host_lists[-1][1])
+        newest = dict(self.host_list_history[-1][1])
         change(newest)
-        self.host_lists.append((now_s, newest))
+        self.host_list_history.append((now_s, newest))
 
-    def seen_hosts(self):
-        """Return the host list as it stood `list_lag_s` ago, or when it froze."""
+    def visible_hosts(self):
+        """Return the host list of ``list_lag_s`` ago, or of when it was frozen."""
         if self.settings["list_frozen"]:
-            return self.frozen_list
+            return self.frozen_hosts
         now_s = asyncio.get_running_loop().time()
-        limit_s = now_s - self.settings["list_lag_s"]
-        for at_s, hosts in reversed(self.host_lists):
-            if at_s <= limit_s:
+        cutoff_s = now_s - self.settings["list_lag_s"]
+        for changed_at_s, hosts in reversed(self.host_list_history):
+            if changed_at_s <= cutoff_s:
                 return hosts
         return {}
 
@@ -107,140 +136,152 @@
 STATE = web.AppKey("state", PlatformState)
 
 
-def error(status, code, **extra):
-    """Return an error answer with a code."""
+def error_response(status, code, **extra):
+    """Return an error response with an HTTP status and an error code."""
     return web.json_response({"error": {"code": code}, **extra}, status=status)
 
 
-def verb_of(request):
-    """Return under which heading a call is counted and limited."""
+def call_category(request):
+    """Return the HTTP method of a call, or ``WATCH`` for a watch."""
     if request.path.startswith("/v1/watch/"):
         return "WATCH"
     return request.method
 
 
 def is_agent_call(request):
-    """Return whether a call is the platform's own agents', which know no outage."""
+    """Return whether a call updates the host list.
+
+    The platform's own agents make these calls; faults and rate limits don't apply.
+    """
     return request.path.startswith("/v1/hosts") and request.method != "GET"
 
 
-def hangs(state, client, heading):
-    """Return whether a call is to be held now."""
+def is_held(state, client, category):
+    """Return whether the fault ``hang`` or ``hang_clients`` holds a call now."""
     settings = state.settings
-    if settings["hang_kind"] not in {None, heading}:
+    if settings["hang_kind"] not in {None, category}:
         return False
     return settings["hang"] or client in settings["hang_clients"]
 
 
-async def wait_while_hung(state, client, heading):
-    """Hold a call while the platform hangs, for all clients or for this one.
+async def wait_while_held(state, client, category):
+    """Hold a call while the platform hangs for all clients or for this one.
 
-    A held write takes effect when the hang ends, even if its caller gave up: that is
-    how a late write appears to a client.
+    A held write takes effect when the hang ends, even if its caller has timed out. To
+    other clients, it appears as a late write.
     """
-    if not hangs(state, client, heading):
+    if not is_held(state, client, category):
         return
-    state.held[heading] = state.held.get(heading, 0) + 1
-    while hangs(state, client, heading):
-        await state.changed.wait()
-    state.held[heading] -= 1
+    state.held_calls[category] = state.held_calls.get(category, 0) + 1
+    while is_held(state, client, category):
+        await state.change_event.wait()
+    state.held_calls[category] -= 1
 
 
 @web.middleware
-async def faults(request, handler):
-    """Apply the faults, the token and the rate limits to a call of a client."""
+async def apply_faults(request, handler):
+    """Check the token of a call, and apply the faults and the rate limits to it."""
     state = request.app[STATE]
     if not request.path.startswith("/v1/"):
         return await handler(request)
     if request.headers.get("Authorization") != f"Bearer {state.token}":
-        return error(401, "token")
+        return error_response(401, "token")
     if is_agent_call(request):
         return await handler(request)
     client = request.headers.get("X-Client-Name", "")
-    verb = verb_of(request)
+    category = call_category(request)
     kind = request.match_info.get("kind")
-    is_write = verb in {"PUT", "DELETE"}
-    state.count_call(client, verb)
-    # The body is read before a fault strikes, as by a server that died afterwards.
+    is_write = category in {"PUT", "DELETE"}
+    state.count_call(client, category)
+    # Reading the body before the faults simulates a server that fails after it has
+    # received the request.
     await request.read()
     if state.settings["latency_s"]:
         await asyncio.sleep(state.settings["latency_s"])
-    await wait_while_hung(state, client, kind if is_write else verb)
-    if state.is_cut(client) or state.spend("drop_calls", kind):
-        return close_connection(request)
+    await wait_while_held(state, client, kind if is_write else category)
+    if state.is_cut_off(client) or state.consume_fault("drop_calls", kind):
+        return abort_connection(request)
     if state.settings["outage"]:
-        return error(503, "outage")
-    bucket = state.writes if is_write else state.reads
+        return error_response(503, "outage")
+    bucket = state.write_bucket if is_write else state.read_bucket
     wait_s = bucket.take(asyncio.get_running_loop().time())
     if wait_s > 0:
-        state.throttled += 1
-        response = error(429, "throttled")
+        state.throttled_calls += 1
+        response = error_response(429, "throttled")
         response.headers["Retry-After"] = str(math.ceil(wait_s))
         return response
     response = await handler(request)
     if is_write and state.settings["delay_kind"] in {None, kind}:
         await asyncio.sleep(state.settings["answer_delay_s"])
-    if state.is_cut(client):
-        return close_connection(request)
-    if is_write and response.status == 200 and state.spend("lose_answers", kind):
-        return close_connection(request)
+    if state.is_cut_off(client):
+        return abort_connection(request)
+    if (
+        is_write
+        and response.status == 200
+        and state.consume_fault("lose_answers", kind)
+    ):
+        return abort_connection(request)
     return response
 
 
 async def read_object(request):
-    """Answer ``GET /v1/objects/KIND/NAME``."""
+    """Handle ``GET /v1/objects/KIND/NAME``: return one object."""
     kind, name = request.match_info["kind"], request.match_info["name"]
     stored = request.app[STATE].store.read(kind, name)
     if stored.version == 0:
-        return error(404, "absent")
+        return error_response(404, "absent")
     return web.json_response(as_json(kind, name, stored))
 
 
 async def write_object(request):
-    """Answer ``PUT /v1/objects/KIND/NAME``."""
+    """Handle ``PUT /v1/objects/KIND/NAME``: write one object conditionally."""
     state = request.app[STATE]
     kind, name = request.match_info["kind"], request.match_info["name"]
     try:
         body = await request.json()
         value, if_version = body["value"], body["if_version"]
     except (ValueError, KeyError, TypeError):
-        return error(400, "malformed")
+        return error_response(400, "malformed")
     if len(json.dumps(value)) > MAX_VALUE_BYTES:
-        return error(413, "too_large")
+        return error_response(413, "too_large")
     if not state.store.write(kind, name, value, if_version):
-        return conflict(state, kind, name)
-    state.wake()
+        return conflict_response(state, kind, name)
+    state.notify_waiters()
     return web.json_response({"version": state.store.revision})
 
 
 async def delete_object(request):
-    """Answer ``DELETE /v1/objects/KIND/NAME?if_version=N``."""
+    """Handle ``DELETE /v1/objects/KIND/NAME?if_version=N``: delete one object."""
     state = request.app[STATE]
     kind, name = request.match_info["kind"], request.match_info["name"]
     if state.store.read(kind, name).version == 0:
-        return error(404, "absent")
+        return error_response(404, "absent")
     if not state.store.delete(kind, name, int(request.query["if_version"])):
-        return conflict(state, kind, name)
-    state.wake()
+        return conflict_response(state, kind, name)
+    state.notify_waiters()
     return web.json_response({"version": state.store.revision})
 
 
-def conflict(state, kind, name):
-    """Return the answer to a conditional write that lost, with what stands."""
+def conflict_response(state, kind, name):
+    """Return the response to a failed conditional change, with the current object."""
     stored = state.store.read(kind, name)
-    answer = {"version": stored.version, "value": stored.value}
-    return web.json_response(answer, status=409)
+    payload = {"version": stored.version, "value": stored.value}
+    return web.json_response(payload, status=409)
 
 
 async def list_objects(request):
-    """Answer ``GET /v1/objects/KIND``."""
+    """Handle ``GET /v1/objects/KIND``: list the objects of a kind."""
     store = request.app[STATE].store
-    items = store.items(request.match_info["kind"])
+    items = store.changed_items(request.match_info["kind"])
     return web.json_response({"revision": store.revision, "items": items})
 
 
-async def watch(request):
-    """Answer ``GET /v1/watch/KIND?after=REV&timeout_s=T[&name=NAME]``."""
+async def watch_objects(request):
+    """Handle ``GET /v1/watch/KIND?after=REV&timeout_s=T[&name=NAME]``.
+
+    The response has the changes after revision REV. If there are none, it waits for one
+    and is empty after T seconds.
+    """
     state = request.app[STATE]
     client = request.headers.get("X-Client-Name", "")
     kind = request.match_info["kind"]
@@ -248,33 +289,37 @@
     name = request.query.get("name")
     loop = asyncio.get_running_loop()
     timeout_s = min(float(request.query.get("timeout_s", "30")), MAX_WATCH_S)
-    end_s = loop.time() + timeout_s
+    deadline_s = loop.time() + timeout_s
     while True:
-        if state.is_cut(client):
-            return close_connection(request)
+        if state.is_cut_off(client):
+            return abort_connection(request)
         if state.settings["outage"]:
-            return error(503, "outage")
-        items = state.store.items(kind, after, name)
+            return error_response(503, "outage")
+        changed_items = state.store.changed_items(kind, after, name)
         deleted = state.store.deleted_names(kind, after, name)
-        left_s = end_s - loop.time()
-        if items or deleted or left_s <= 0:
+        remaining_s = deadline_s - loop.time()
+        if changed_items or deleted or remaining_s <= 0:
             break
         try:
-            await asyncio.wait_for(state.changed.wait(), left_s)
+            await asyncio.wait_for(state.change_event.wait(), remaining_s)
         except TimeoutError:
             continue
-    answer = {"revision": state.store.revision, "items": items, "deleted": deleted}
-    return web.json_response(answer)
+    payload = {
+        "revision": state.store.revision,
+        "items": changed_items,
+        "deleted": deleted,
+    }
+    return web.json_response(payload)
 
 
 async def list_hosts(request):
-    """Answer ``GET /v1/hosts``, as it stood some time ago."""
-    hosts = request.app[STATE].seen_hosts()
+    """Handle ``GET /v1/hosts``: return the host list, which may lag or be frozen."""
+    hosts = request.app[STATE].visible_hosts()
     return web.json_response({"items": list(hosts.values())})
 
 
 async def register_host(request):
-    """Answer ``POST /v1/hosts``."""
+    """Handle ``POST /v1/hosts``: create or replace an entry of the host list."""
     item = await request.json()
     item.setdefault("region", "")
     item.setdefault("state", "live")
@@ -282,52 +327,52 @@
     def change(hosts):
         hosts[item["name"]] = item
 
-    request.app[STATE].change_hosts(change)
+    request.app[STATE].update_hosts(change)
     return web.json_response({})
 
 
 async def remove_host(request):
-    """Answer ``DELETE /v1/hosts/NAME``."""
+    """Handle ``DELETE /v1/hosts/NAME``: remove an entry of the host list."""
     name = request.match_info["name"]
 
     def change(hosts):
         hosts.pop(name, None)
 
-    request.app[STATE].change_hosts(change)
+    request.app[STATE].update_hosts(change)
     return web.json_response({})
 
 
 async def set_control(request):
-    """Answer ``POST /control``: set faults."""
+    """Handle ``POST /control``: set faults."""
     state = request.app[STATE]
     changes = await request.json()
     unknown = set(changes) - set(state.settings)
     if unknown:
-        return error(400, "unknown_setting", unknown=sorted(unknown))
+        return error_response(400, "unknown_setting", unknown=sorted(unknown))
     if changes.get("list_frozen"):
-        state.frozen_list = state.seen_hosts()
+        state.frozen_hosts = state.visible_hosts()
     state.settings.update(changes)
-    state.wake()
+    state.notify_waiters()
     return web.json_response(state.settings)
 
 
 async def get_control(request):
-    """Answer ``GET /control``: faults and counters."""
+    """Handle ``GET /control``: return the faults that are set and the counters."""
     state = request.app[STATE]
-    answer = {
+    payload = {
         "settings": state.settings,
-        "calls": state.calls,
-        "throttled": state.throttled,
-        "held": state.held,
+        "calls": state.call_counts,
+        "throttled": state.throttled_calls,
+        "held": state.held_calls,
         "objects": state.store.count(),
         "revision": state.store.revision,
     }
-    return web.json_response(answer)
+    return web.json_response(payload)
 
 
 def build_app(state):
-    """Return the platform stand-in's web application around its state."""
-    app = web.Application(middlewares=[faults], client_max_size=MAX_BODY_BYTES)
+    """Return the web application of the platform stand-in with the given state."""
+    app = web.Application(middlewares=[apply_faults], client_max_size=MAX_BODY_BYTES)
     app[STATE] = state
     app.add_routes(
         [
@@ -335,7 +380,7 @@
             web.get("/v1/objects/{kind}/{name:.+}", read_object),
             web.put("/v1/objects/{kind}/{name:.+}", write_object),
             web.delete("/v1/objects/{kind}/{name:.+}", delete_object),
-            web.get("/v1/watch/{kind}", watch),
+            web.get("/v1/watch/{kind}", watch_objects),
             web.get("/v1/hosts", list_hosts),
             web.post("/v1/hosts", register_host),
             web.delete("/v1/hosts/{name}", remove_host),
@@ -352,7 +397,7 @@
     Parameters
     ----------
     options : argparse.Namespace
-        The command line's options.
+        The command-line options.
     """
     state = PlatformState(
         options.token,
@@ -365,11 +410,11 @@
         del address
 
     async def on_stop():
-        # An outage ends the waiting watches, which would hold up the stop.
+        # The fault outage ends the waiting watches, which would delay the shutdown.
         state.settings["outage"] = True
         state.settings["hang"] = False
         state.settings["hang_clients"] = []
-        state.wake()
+        state.notify_waiters()
 
     app = build_app(state)
-    await serve(app, Connections(), options.ip, options.port, on_ready, on_stop)
+    await serve(app, ConnectionTracker(), options.ip, options.port, on_ready, on_stop)
--- a/libs/standins/gypsumusher_standins/registration.py
+++ b/libs/standins/gypsumusher_standins/registration.py
@@ -1,16 +1,19 @@
-"""Register an endpoint in the platform's host list, as the platform's agent would."""
+"""Registration of an endpoint in the host list of the platform stand-in.
+
+On a real platform, an agent of the platform makes these calls.
+"""
 
 import asyncio
 
 import aiohttp
 
-ATTEMPTS = 20
-PAUSE_S = 0.1
-TIMEOUT_S = 2.0
+MAX_ATTEMPTS = 20
+RETRY_INTERVAL_S = 0.1
+REQUEST_TIMEOUT_S = 2.0
 
 
-async def change_listing(platform_url, token, method, path, item):
-    """Make one call to the platform's host list, again while it can't be reached.
+async def call_host_list(platform_url, token, method, path, body):
+    """Make one call to the platform's host list, with retries on connection errors.
 
     Parameters
     ----------
@@ -19,34 +22,37 @@
     token : str
         The platform's bearer token.
     method : str
-        HTTP method.
+        HTTP method of the call.
     path : str
         Path of the call.
-    item : dict or None
-        The body.
+    body : dict or None
+        JSON body of the call.
 
     Raises
     ------
     aiohttp.ClientError
-        If the platform stays out of reach or refuses.
+        If the platform can't be reached in any attempt, or responds with an error
+        status.
+    TimeoutError
+        If the last attempt times out.
     """
     headers = {"Authorization": f"Bearer {token}", "X-Client-Name": "agent"}
-    timeout = aiohttp.ClientTimeout(total=TIMEOUT_S)
+    timeout = aiohttp.ClientTimeout(total=REQUEST_TIMEOUT_S)
     async with aiohttp.ClientSession(headers=headers, timeout=timeout) as session:
-        for attempt in range(ATTEMPTS):
+        for attempt in range(MAX_ATTEMPTS):
             try:
-                call = session.request(method, platform_url + path, json=item)
-                async with call as answer:
-                    answer.raise_for_status()
+                call = session.request(method, platform_url + path, json=body)
+                async with call as response:
+                    response.raise_for_status()
                     return
             except (aiohttp.ClientConnectionError, TimeoutError):
-                if attempt == ATTEMPTS - 1:
+                if attempt == MAX_ATTEMPTS - 1:
                     raise
-            await asyncio.sleep(PAUSE_S)
+            await asyncio.sleep(RETRY_INTERVAL_S)
 
 
-def listing_item(options, kind, group, address, state):
-    """Return the host list's item for an endpoint with the given options."""
+def host_list_entry(options, kind, group, address, state):
+    """Return the entry of the host list for an endpoint."""
     return {
         "name": options.name,
         "kind": kind,
@@ -58,19 +64,19 @@
     }
 
 
-async def announce(options, kind, group, address, state):
-    """List the endpoint in the given state, if it was told of a platform."""
+async def register_endpoint(options, kind, group, address, state):
+    """Create or replace the endpoint's host list entry, if ``--platform`` is set."""
     if options.platform is None:
         return
-    item = listing_item(options, kind, group, address, state)
+    body = host_list_entry(options, kind, group, address, state)
     token = options.platform_token
-    await change_listing(options.platform, token, "POST", "/v1/hosts", item)
+    await call_host_list(options.platform, token, "POST", "/v1/hosts", body)
 
 
-async def withdraw(options):
-    """Take the endpoint off the list at a planned stop."""
+async def deregister_endpoint(options):
+    """Remove the endpoint's host list entry, if ``--platform`` is set."""
     if options.platform is None:
         return
     token = options.platform_token
     path = f"/v1/hosts/{options.name}"
-    await change_listing(options.platform, token, "DELETE", path, None)
+    await call_host_list(options.platform, token, "DELETE", path, None)
--- a/libs/standins/gypsumusher_standins/service.py
+++ b/libs/standins/gypsumusher_standins/service.py
@@ -1,26 +1,43 @@
-"""A stand-in of a plain service replica, which echoes and counts what it ran."""
+"""Stand-in of a replica of a plain service.
+
+It echoes each request, counts the requests that it ran, and simulates the faults that a
+test sets by ``POST /control``.
+"""
 
 import asyncio
 import hashlib
 
 from aiohttp import web
 
-from gypsumusher_standins.registration import announce, withdraw
+from gypsumusher_standins.registration import deregister_endpoint, register_endpoint
 from gypsumusher_standins.serving import (
     MAX_BODY_BYTES,
-    Connections,
-    close_connection,
+    ConnectionTracker,
+    abort_connection,
     serve,
 )
 
 
 class ServiceState:
-    """The counters of a plain service, and the faults that are set."""
+    """Counters and fault settings of a plain service.
+
+    Attributes
+    ----------
+    run_count : int
+        Number of requests run.
+    runs_by_request_id, runs_by_body_digest : dict
+        Number of runs by ``X-Request-Id``, and by the first 16 hexadecimal digits of
+        the SHA-256 digest of the body.
+    settings : dict
+        Faults: ``close_after_read`` and ``truncate_next`` are the numbers of coming
+        requests affected, ``delay_s`` delays each response, ``status`` replaces its
+        status, and ``keepalive_close`` closes the connection shortly after it.
+    """
 
     def __init__(self):
-        self.count = 0
-        self.requests = {}
-        self.bodies = {}
+        self.run_count = 0
+        self.runs_by_request_id = {}
+        self.runs_by_body_digest = {}
         self.settings = {
             "close_after_read": 0,
             "delay_s": 0.0,
@@ -29,16 +46,18 @@
             "keepalive_close": False,
         }
 
-    def count_run(self, request_id, body):
-        """Count one run of a request."""
-        self.count += 1
+    def record_run(self, request_id, body):
+        """Count one run of a request by its id and by its body."""
+        self.run_count += 1
         digest = hashlib.sha256(body).hexdigest()[:16]
-        self.bodies[digest] = self.bodies.get(digest, 0) + 1
+        self.runs_by_body_digest[digest] = self.runs_by_body_digest.get(digest, 0) + 1
         if request_id is not None:
-            self.requests[request_id] = self.requests.get(request_id, 0) + 1
+            self.runs_by_request_id[request_id] = (
+                self.runs_by_request_id.get(request_id, 0) + 1
+            )
 
-    def spend(self, setting):
-        """Use up one of a counted fault's occurrences; return whether one was left."""
+    def consume_fault(self, setting):
+        """Decrement a counted fault's setting; return whether the fault applies."""
         if self.settings[setting] <= 0:
             return False
         self.settings[setting] -= 1
@@ -48,31 +67,31 @@
 STATE = web.AppKey("state", ServiceState)
 
 
-async def run_call(request):
-    """Run any call: count it, then echo it or play the fault that is set."""
+async def handle_request(request):
+    """Count any request, then echo it or simulate the fault that is set."""
     state = request.app[STATE]
     body = await request.read()
-    state.count_run(request.headers.get("X-Request-Id"), body)
-    answer = {
+    state.record_run(request.headers.get("X-Request-Id"), body)
+    payload = {
         "echo": body.decode(errors="replace"),
         "method": request.method,
         "path": request.path_qs,
-        "count": state.count,
+        "count": state.run_count,
     }
-    if state.spend("close_after_read"):
-        return close_connection(request)
+    if state.consume_fault("close_after_read"):
+        return abort_connection(request)
     if state.settings["delay_s"]:
         await asyncio.sleep(state.settings["delay_s"])
-    if state.spend("truncate_next"):
-        return await truncated(request)
-    response = web.json_response(answer, status=state.settings["status"])
+    if state.consume_fault("truncate_next"):
+        return await send_truncated_body(request)
+    response = web.json_response(payload, status=state.settings["status"])
     if state.settings["keepalive_close"]:
-        close_soon(request)
+        close_after_response(request)
     return response
 
 
-async def truncated(request):
-    """Send half of the announced body, then close."""
+async def send_truncated_body(request):
+    """Send 50 of the 100 bytes that Content-Length declares, then close."""
     response = web.StreamResponse(headers={"Content-Length": "100"})
     await response.prepare(request)
     await response.write(b"x" * 50)
@@ -80,29 +99,32 @@
     return response
 
 
-def close_soon(request):
-    """Close the connection after the answer, unannounced, as an idle limit would."""
+def close_after_response(request):
+    """Close the connection 5 ms later without ``Connection: close``.
+
+    The caller sees a kept-alive connection that the server closes at its idle timeout.
+    """
     transport = request.transport
     asyncio.get_running_loop().call_later(0.005, transport.close)
 
 
 async def set_control(request):
-    """Answer ``POST /control``: set faults."""
+    """Handle ``POST /control``: set faults."""
     state = request.app[STATE]
     state.settings.update(await request.json())
     return web.json_response(state.settings)
 
 
 async def get_control(request):
-    """Answer ``GET /control``: counters and faults."""
+    """Handle ``GET /control``: return the counters and the faults that are set."""
     state = request.app[STATE]
-    answer = {
-        "count": state.count,
-        "requests": state.requests,
-        "bodies": state.bodies,
+    payload = {
+        "count": state.run_count,
+        "requests": state.runs_by_request_id,
+        "bodies": state.runs_by_body_digest,
         "settings": state.settings,
     }
-    return web.json_response(answer)
+    return web.json_response(payload)
 
 
 async def run_service(options):
@@ -111,21 +133,23 @@
     Parameters
     ----------
     options : argparse.Namespace
-        The command line's options.
+        The command-line options.
     """
     app = web.Application(client_max_size=MAX_BODY_BYTES)
     app[STATE] = ServiceState()
     app.router.add_post("/control", set_control)
     app.router.add_get("/control", get_control)
-    app.router.add_route("*", "/{path:.*}", run_call)
+    app.router.add_route("*", "/{path:.*}", handle_request)
     bound = []
 
     async def on_ready(address):
         bound.append(address)
-        await announce(options, "service", options.service, address, "live")
+        await register_endpoint(options, "service", options.service, address, "live")
 
     async def on_stop():
-        await announce(options, "service", options.service, bound[0], "leaving")
-        await withdraw(options)
+        await register_endpoint(
+            options, "service", options.service, bound[0], "leaving"
+        )
+        await deregister_endpoint(options)
 
-    await serve(app, Connections(), options.ip, options.port, on_ready, on_stop)
+    await serve(app, ConnectionTracker(), options.ip, options.port, on_ready, on_stop)
--- a/libs/standins/gypsumusher_standins/text.py
+++ b/libs/standins/gypsumusher_standins/text.py
@@ -1,14 +1,14 @@
-"""The text that a stand-in engine generates, so that a caller can check its answer."""
+"""Deterministic text of stand-in engines, so that a test can check each response."""
 
 import hashlib
 
-WORD_DIGITS = 7
+WORD_HEX_DIGITS = 7
 PREFIX_CHUNK_CHARS = 256
 PREFIX_DIGEST_BYTES = 8
 
 
 def prompt_text(body):
-    """Return the prompt of a completion or chat request body.
+    """Return the prompt in the body of a completion or chat completion request.
 
     Parameters
     ----------
@@ -18,7 +18,7 @@
     Returns
     -------
     str
-        The prompt, or the chat messages' contents joined by line feeds.
+        The prompt, or the contents of the chat messages joined by line feeds.
     """
     messages = body.get("messages")
     if messages is None:
@@ -27,15 +27,16 @@
 
 
 def count_tokens(text):
-    """Return the number of tokens of a text: its whitespace separated words."""
+    """Return the number of tokens of a text: one per whitespace-separated word."""
     return len(text.split())
 
 
 def expected_words(prompt, max_tokens):
     """Return the words that an engine generates for a prompt.
 
-    Each word depends on the prompt and on its position, so that a truncated, doubled
-    or crossed answer, or one spliced from two, never equals the expected one.
+    Each word is a hash of the prompt and of the word's position. A response that is
+    truncated, repeated, belongs to another prompt, or is spliced from two responses
+    therefore differs from the expected one.
 
     Parameters
     ----------
@@ -53,12 +54,12 @@
     words = []
     for position in range(max_tokens):
         digest = hashlib.blake2b(seed + position.to_bytes(4, "big"), digest_size=4)
-        words.append("w" + digest.hexdigest()[:WORD_DIGITS])
+        words.append("w" + digest.hexdigest()[:WORD_HEX_DIGITS])
     return words
 
 
 def expected_text(prompt, max_tokens):
-    """Return the whole answer that an engine gives to a prompt.
+    """Return the complete text that an engine generates for a prompt.
 
     Parameters
     ----------
@@ -70,18 +71,32 @@
     Returns
     -------
     str
-        The answer's words separated by single spaces.
+        The generated words separated by single spaces.
     """
     return " ".join(expected_words(prompt, max_tokens))
 
 
 def prompt_digest(prompt):
-    """Return the 16 hexadecimal digits under which engines count runs of a prompt."""
+    """Return the 16 hexadecimal digits that identify a prompt in the run counters."""
     return hashlib.sha256(prompt.encode()).hexdigest()[:16]
 
 
 def prefix_hashes(prompt):
-    """Return the chained hashes of the prompt's whole 256-character chunks."""
+    """Return one chained 64-bit hash for each full 256-character chunk of a prompt.
+
+    Each hash covers the chunk and all chunks before it, and so identifies a prefix of
+    the prompt. A last chunk of less than 256 characters has no hash.
+
+    Parameters
+    ----------
+    prompt : str
+        The prompt, as `prompt_text` returns it.
+
+    Returns
+    -------
+    list of int
+        The hashes, from the shortest prefix to the longest.
+    """
     hashes = []
     digest = b""
     last_start = len(prompt) - PREFIX_CHUNK_CHARS
--- a/libs/standins/gypsumusher_standins/rates.py
+++ b/libs/standins/gypsumusher_standins/token_bucket.py
@@ -1,15 +1,15 @@
-"""A token bucket, for the platform's rate limits."""
+"""Token bucket for the rate limits of the platform stand-in."""
 
 
 class TokenBucket:
-    """Permit a number of calls a second, with one second's worth as a burst.
+    """Rate limiter that admits bursts of up to one second's worth of calls.
 
     Parameters
     ----------
     rate_per_s : float
-        Calls permitted a second.
+        Permitted calls per second; also the capacity of the bucket.
     now_s : float
-        The present reading of the caller's clock.
+        Current time of the caller's monotonic clock, in seconds.
     """
 
     def __init__(self, rate_per_s, now_s):
@@ -18,12 +18,17 @@
         self.updated_s = now_s
 
     def take(self, now_s):
-        """Take one call's token.
+        """Take one token, if there is one, for one call.
+
+        Parameters
+        ----------
+        now_s : float
+            Current time of the same clock, in seconds.
 
         Returns
         -------
         float
-            0 if the call is permitted, else the seconds until the next token.
+            0 if the call is permitted, else the seconds until a token is available.
         """
         refill = (now_s - self.updated_s) * self.rate_per_s
         self.tokens = min(self.rate_per_s, self.tokens + refill)
--- a/libs/standins/tests/test_programs.py
+++ b/libs/standins/tests/test_programs.py
@@ -1,4 +1,4 @@
-"""The stand-ins as processes: what the daemon's tests rely on."""
+"""Tests of the stand-in processes: the behaviour that the daemon's tests rely on."""
 
 import asyncio
 
@@ -10,7 +10,7 @@
 
 pytestmark = pytest.mark.processes
 
-LISTING = {"X-Request-Id": "attempt-1"}
+ATTEMPT_HEADERS = {"X-Request-Id": "attempt-1"}
 
 
 def completion(prompt, max_tokens, **extra):
@@ -19,17 +19,17 @@
 
 async def post(fleet, engine, path, body, **options):
     url = f"http://{engine.address}{path}"
-    async with fleet.session.post(url, json=body, **options) as answer:
-        return answer.status, answer.headers, await answer.read()
+    async with fleet.session.post(url, json=body, **options) as response:
+        return response.status, response.headers, await response.read()
 
 
 async def post_json(fleet, engine, path, body):
     url = f"http://{engine.address}{path}"
-    async with fleet.session.post(url, json=body) as answer:
-        return answer.status, await answer.json()
+    async with fleet.session.post(url, json=body) as response:
+        return response.status, await response.json()
 
 
-def test_a_stream_goes_on_after_its_connection_breaks():
+def test_stream_can_be_resumed_after_its_connection_breaks():
     async def run():
         async with Fleet() as fleet:
             await fleet.start_platform()
@@ -38,16 +38,18 @@
             body = completion("a letter", 40, stream=True)
             url = f"http://{engine.address}/v1/completions"
             received = b""
-            async with fleet.session.post(url, json=body, headers=LISTING) as answer:
-                stream_id = answer.headers["X-Stream-Id"]
+            async with fleet.session.post(
+                url, json=body, headers=ATTEMPT_HEADERS
+            ) as response:
+                stream_id = response.headers["X-Stream-Id"]
                 with pytest.raises(aiohttp.ClientError):
-                    async for part in answer.content.iter_any():
-                        received += part
+                    async for chunk in response.content.iter_any():
+                        received += chunk
             events = stream_events(received)
             assert len(events) == 5
             url = f"http://{engine.address}/v1/streams/{stream_id}?after=5"
-            async with fleet.session.get(url) as answer:
-                received += await answer.read()
+            async with fleet.session.get(url) as response:
+                received += await response.read()
             assert [number for number, _ in stream_events(received)] == [*range(1, 42)]
             assert is_done(received)
             assert stream_text(received) == expected_text("a letter", 40)
@@ -55,7 +57,7 @@
     asyncio.run(run())
 
 
-def test_kv_cache_goes_from_a_prefill_to_a_decode_engine():
+def test_kv_cache_is_transferred_from_prefill_to_decode_engine():
     async def run():
         async with Fleet() as fleet:
             await fleet.start_platform()
@@ -68,8 +70,8 @@
             export = completion("a letter", 1, kv_export=True)
             _, exported = await post_json(fleet, prefill, path, export)
             body["kv_import"] = exported["kv"]
-            _, answer = await post_json(fleet, decode, path, body)
-            assert answer["choices"][0]["text"] == expected_text("a letter", 8)
+            _, response = await post_json(fleet, decode, path, body)
+            assert response["choices"][0]["text"] == expected_text("a letter", 8)
             body["kv_import"] = {**exported["kv"], "handle": "gone"}
             status, refused = await post_json(fleet, decode, path, body)
             assert refused["error"]["code"] == "kv_unavailable"
@@ -78,11 +80,11 @@
     asyncio.run(run())
 
 
-def test_an_order_on_an_old_connection_has_no_effect():
-    """An order from a steward that was paused would still be carried out.
+def test_order_on_an_expired_connection_has_no_effect():
+    """Guards against the execution of a stale order from a host that was suspended.
 
-    It opens a connection, is paused, and writes its order long afterwards.
-    Cause: an engine that neither checks terms nor bounds open connections.
+    The host opens a connection, is suspended, and writes its order long afterwards. An
+    engine that neither checks terms nor limits the age of connections executes it.
     """
 
     async def run():
@@ -103,37 +105,37 @@
     asyncio.run(run())
 
 
-def test_a_role_change_lets_running_work_finish():
+def test_role_change_lets_running_requests_finish():
     async def run():
         async with Fleet() as fleet:
             await fleet.start_platform()
             engine = await fleet.start_engine("e1")
             path = "/v1/completions"
-            work = asyncio.create_task(
+            running_request = asyncio.create_task(
                 post_json(fleet, engine, path, completion("a letter", 100))
             )
 
             async def is_running():
                 return (await engine.counters())["running"]
 
-            await wait_until(is_running, "the work to run")
+            await wait_until(is_running, "the request to run")
             order = {"order_id": "o1", "term": 1, "goal": {"role": "prefill"}}
             assert (await post_json(fleet, engine, "/orders", order))[0] == 202
             status, refused = await post_json(fleet, engine, path, completion("x", 1))
             assert refused["error"]["code"] == "wrong_role"
-            _, answer = await work
-            assert answer["choices"][0]["text"] == expected_text("a letter", 100)
+            _, response = await running_request
+            assert response["choices"][0]["text"] == expected_text("a letter", 100)
 
-            async def is_done_order():
+            async def is_order_done():
                 return (await engine.counters())["orders"][0]["state"] == "done"
 
-            await wait_until(is_done_order, "the order's end")
+            await wait_until(is_order_done, "the order to be done")
             assert (await engine.counters())["role"] == "prefill"
 
     asyncio.run(run())
 
 
-def test_a_marked_request_ends_the_engine():
+def test_prompt_with_crash_on_text_crashes_the_engine():
     async def run():
         async with Fleet() as fleet:
             await fleet.start_platform()
@@ -146,7 +148,7 @@
     asyncio.run(run())
 
 
-def test_a_lost_answers_write_took_effect_and_a_dropped_one_did_not():
+def test_write_takes_effect_if_response_is_lost_but_not_if_dropped():
     async def run():
         async with Fleet() as fleet:
             platform = await fleet.start_platform()
@@ -161,7 +163,7 @@
     asyncio.run(run())
 
 
-def test_a_held_write_takes_effect_after_its_caller_gave_up():
+def test_held_write_takes_effect_after_its_caller_timed_out():
     async def run():
         async with Fleet() as fleet:
             platform = await fleet.start_platform()
@@ -171,9 +173,9 @@
                     await platform.write("a", "n", 1)
             await platform.control(hang_clients=[])
 
-            async def has_landed():
+            async def has_taken_effect():
                 return await platform.read("a", "n")
 
-            assert (await wait_until(has_landed, "the late write"))["value"] == 1
+            assert (await wait_until(has_taken_effect, "the late write"))["value"] == 1
 
     asyncio.run(run())
