--- a/libs/standins/gypsumusher_standins/engine_orders.py
+++ b/libs/standins/gypsumusher_standins/engine_orders.py
@@ -90,10 +90,12 @@
         """Close a connection at the age limit, unless it then serves other calls."""
         loop = asyncio.get_running_loop()
         loop.call_later(
-            self.state.options.order_timeout_s, self._close_if_for_orders, protocol
+            self.state.options.order_timeout_s,
+            self._close_unless_for_other_calls,
+            protocol,
         )
 
-    def _close_if_for_orders(self, protocol):
+    def _close_unless_for_other_calls(self, protocol):
         if self.connections.purposes.get(protocol) == "other":
             return
         if protocol.transport is not None:
--- a/libs/standins/gypsumusher_standins/platform.py
+++ b/libs/standins/gypsumusher_standins/platform.py
@@ -42,8 +42,8 @@
     throttled_calls : int
         Number of calls over a rate limit.
     held_calls : dict
-        Number of calls that are held at present, by object kind for writes and by
-        method or ``WATCH`` for others.
+        Number of calls that are held at present: writes by the kind of their object,
+        others as ``GET`` or ``WATCH``.
     host_list_history : list of (float, dict)
         Host lists by name, and the times at which each became current.
     frozen_hosts : dict
@@ -52,7 +52,8 @@
         Faults. ``lose_answers`` and ``drop_calls`` are the numbers of coming writes
         whose response is lost after the write took effect, and of coming calls that
         are dropped before they take effect. A ``..._kind`` setting restricts a fault
-        to one kind of object; ``hang_kind`` may also be a method or ``WATCH``.
+        to one kind of object; ``hang_kind`` restricts it to the writes of one kind, to
+        ``GET`` or to ``WATCH``.
     """
 
     def __init__(self, token, writes_per_s, reads_per_s, list_lag_s):
@@ -156,26 +157,29 @@
     return request.path.startswith("/v1/hosts") and request.method != "GET"
 
 
-def is_held(state, client, category):
-    """Return whether the fault ``hang`` or ``hang_clients`` holds a call now."""
+def is_held(state, client, kind_or_category):
+    """Return whether the fault ``hang`` or ``hang_clients`` holds a call now.
+
+    `kind_or_category` is the object's kind for a write, else ``GET`` or ``WATCH``.
+    """
     settings = state.settings
-    if settings["hang_kind"] not in {None, category}:
+    if settings["hang_kind"] not in {None, kind_or_category}:
         return False
     return settings["hang"] or client in settings["hang_clients"]
 
 
-async def wait_while_held(state, client, category):
+async def wait_while_held(state, client, kind_or_category):
     """Hold a call while the platform hangs for all clients or for this one.
 
     A held write takes effect when the hang ends, even if its caller has timed out. To
     other clients, it appears as a late write.
     """
-    if not is_held(state, client, category):
+    if not is_held(state, client, kind_or_category):
         return
-    state.held_calls[category] = state.held_calls.get(category, 0) + 1
-    while is_held(state, client, category):
+    state.held_calls[kind_or_category] = state.held_calls.get(kind_or_category, 0) + 1
+    while is_held(state, client, kind_or_category):
         await state.change_event.wait()
-    state.held_calls[category] -= 1
+    state.held_calls[kind_or_category] -= 1
 
 
 @web.middleware
