--- a/soak/injection.py
+++ b/soak/injection.py
@@ -144,20 +144,20 @@
 
 
 async def _store_forget(system, _, duration_s):
-    system.store.forget_history()
+    system.store.drop_event_history()
 
 
 async def _store_stale(system, _, duration_s):
     """Let reads of the store return old state while watches deliver changes."""
-    system.store.freeze()
+    system.store.start_stale_reads()
     # The change is what the frozen reads get wrong; the lost history makes hosts read.
     await asyncio.sleep(duration_s / 2.0)
     system.write_configuration()
     await asyncio.sleep(WATCH_DELIVERY_S)
-    system.store.forget_history()
+    system.store.drop_event_history()
     await asyncio.sleep(duration_s / 2.0)
     system.store.fault = ""
-    system.store.forget_history()
+    system.store.drop_event_history()
 
 
 async def _store_lapse(system, _, duration_s):
