--- a/bench/engine_model.py
+++ b/bench/engine_model.py
@@ -278,10 +278,8 @@
 
     def _end_step(self):
         """Report first tokens and finished jobs, or crash on the crashing request."""
-        fingerprint = self.crash_fingerprint
-        if fingerprint and any(
-            job.request.fingerprint == fingerprint for job in self.batch
-        ):
+        crashing = self.crash_fingerprint
+        if crashing and any(job.request.fingerprint == crashing for job in self.batch):
             self.stepping = False
             self.crash(restart_s=30.0)
             return
--- a/soak/injection.py
+++ b/soak/injection.py
@@ -36,25 +36,25 @@
 
 async def _inject_fault(system, fault):
     """Inject one fault, and record its target and its time span."""
-    targets_name, apply = _FAULTS[fault.kind]
-    target = None
-    if targets_name is not None:
-        targets = getattr(system, targets_name)
-        target = targets[fault.target % len(targets)]
+    list_name, apply = _FAULTS[fault.kind]
+    component = None
+    if list_name is not None:
+        components = getattr(system, list_name)
+        component = components[fault.target % len(components)]
     began_s = system.clock()
     try:
-        await apply(system, target, fault.duration_s)
+        await apply(system, component, fault.duration_s)
     finally:
         # A fault that the end of the run cancels also excuses the failures it caused.
-        span = (fault.kind, _target_name(target), began_s, system.clock())
+        span = (fault.kind, _component_name(component), began_s, system.clock())
         system.records.spans.append(span)
 
 
-def _target_name(target):
-    """Return a host's or endpoint's name in the records; other targets have none."""
-    if isinstance(target, EntryProcess):
-        return target.callers
-    return target.name if isinstance(target, SoakEndpoint) else ""
+def _component_name(component):
+    """Return a host's or endpoint's name in the records; other components have none."""
+    if isinstance(component, EntryProcess):
+        return component.callers
+    return component.name if isinstance(component, SoakEndpoint) else ""
 
 
 async def _all_hosts_kill(system, _, duration_s):
@@ -101,7 +101,7 @@
 async def _all_endpoints_full(system, _, duration_s):
     apply = _endpoint_mode("full")
     await asyncio.gather(
-        *(apply(system, endpoint, duration_s) for endpoint in system.endpoints)
+        *(apply(system, endpoint, duration_s) for endpoint in system.backends)
     )
 
 
@@ -192,12 +192,12 @@
     "host_stop": ("hosts", _host_stop),
     "host_reload": ("hosts", _host_reload),
     "all_hosts_kill": (None, _all_hosts_kill),
-    "endpoint_restart": ("endpoints", _endpoint_restart),
-    "endpoint_leave": ("endpoints", _endpoint_leave),
-    "endpoint_errors": ("endpoints", _endpoint_mode("errors")),
-    "endpoint_hang": ("endpoints", _endpoint_mode("hang")),
-    "endpoint_break": ("endpoints", _endpoint_mode("break")),
-    "endpoint_full": ("endpoints", _endpoint_mode("full")),
+    "endpoint_restart": ("backends", _endpoint_restart),
+    "endpoint_leave": ("backends", _endpoint_leave),
+    "endpoint_errors": ("backends", _endpoint_mode("errors")),
+    "endpoint_hang": ("backends", _endpoint_mode("hang")),
+    "endpoint_break": ("backends", _endpoint_mode("break")),
+    "endpoint_full": ("backends", _endpoint_mode("full")),
     "all_endpoints_full": (None, _all_endpoints_full),
     "link_delay": ("links", _link_delay),
     "link_reset": ("links", _link_reset),
--- a/soak/soak_system.py
+++ b/soak/soak_system.py
@@ -49,7 +49,7 @@
         self.folder = pathlib.Path(tempfile.mkdtemp(prefix="gypsumusher-soak-"))
         self.store = ObjectStore()
         self.hosts = []
-        self.endpoints = []
+        self.backends = []
         self.links = []
         self.store_links = []
         self._began_s = 0.0
@@ -73,7 +73,7 @@
         self.write_configuration()
         for number in range(ENDPOINTS):
             endpoint = SoakEndpoint(f"e-{number}", self.clock, self.records)
-            self.endpoints.append(endpoint)
+            self.backends.append(endpoint)
             self.links.append(Proxy(await endpoint.start()))
             await self.links[-1].start()
             self._heartbeats[endpoint.name] = [1, 1, "ready"]
@@ -121,7 +121,7 @@
         await asyncio.gather(*self._tasks, return_exceptions=True)
         for host in self.hosts:
             host.destroy()
-        for part in (*self.endpoints, *self.links, *self.store_links, self.store):
+        for part in (*self.backends, *self.links, *self.store_links, self.store):
             await part.close()
 
     def spawn(self, coroutine):
@@ -173,7 +173,7 @@
 
     def record_restart(self, endpoint, address):
         """Point an endpoint's link to its new address and write its new entry."""
-        number = self.endpoints.index(endpoint)
+        number = self.backends.index(endpoint)
         self.links[number].target = address
         generation, _, _ = self._heartbeats[endpoint.name]
         self._heartbeats[endpoint.name] = [generation + 1, 1, "ready"]
@@ -186,7 +186,7 @@
         if not is_lapsed:
             self._write_entries()
             return
-        for endpoint in self.endpoints:
+        for endpoint in self.backends:
             self._remove_entry(endpoint.name)
 
     async def stop_host(self, host, pause_s):
@@ -204,7 +204,7 @@
 
     async def restart_endpoint(self, endpoint, pause_s):
         """Crash an endpoint, and restart it under the same id after a pause."""
-        number = self.endpoints.index(endpoint)
+        number = self.backends.index(endpoint)
         self._crashed_s[endpoint.name] = self.clock()
         await endpoint.close()
         self.links[number].reset()
@@ -230,14 +230,14 @@
 
     def _write_entries(self):
         """Write the entries of all endpoints, with the next heartbeat count."""
-        for endpoint in self.endpoints:
+        for endpoint in self.backends:
             fields = self._heartbeats[endpoint.name]
             generation, heartbeat, state = fields
             if not state:
                 self._remove_entry(endpoint.name)
                 continue
             fields[1] = heartbeat + 1
-            number = self.endpoints.index(endpoint)
+            number = self.backends.index(endpoint)
             content = sample_endpoint_entry(
                 self.links[number].address,
                 state,
--- a/tools/capacity.py
+++ b/tools/capacity.py
@@ -15,7 +15,7 @@
 
 # Number of hosts to predict for: the size that the system is designed for.
 HOSTS = 330
-# Limits of what coordination may use of a host at that size, by unit.
+# Limits of what the control plane may use of a host at that size, by unit.
 LIMITS = {"processor %": 4.7, "memory MB": 128.0, "kB a second": 2.0}
 
 
