--- a/libs/coordination/tests/test_expiry.py
+++ b/libs/coordination/tests/test_expiry.py
@@ -1,9 +1,9 @@
-"""Old journal segments are removed without looking like the journal's end."""
+"""`SegmentExpiry`: deleted segments are not taken for the end of the journal."""
 
 from gypsumusher_coordination.effects import (
     CallFailed,
     DeleteObject,
-    Stored,
+    StoredObject,
     WriteConflict,
     WriteDone,
 )
@@ -15,17 +15,18 @@
 def make_expiry():
     expiry = SegmentExpiry("journals", "home-1", retention_s=100.0)
     for segment in range(3):
-        closed = Stored(segment + 1, {**VALUE, "segment": segment})
+        closed = StoredObject(segment + 1, {**VALUE, "segment": segment})
         expiry.on_closed(float(segment), segment, closed)
     assert expiry.tick(50.0) == []
     [write] = expiry.tick(101.5)
     return expiry, write
 
 
-def test_segment_zero_says_what_still_stands_before_anything_is_deleted():
-    """A survivor seals the journal while old segments are being removed.
+def test_segment_zero_names_the_first_remaining_segment_before_any_delete():
+    """Another host seals the journal while old segments are being deleted.
 
-    It would take a removed segment for the end and call keys in later ones not run.
+    If segment zero did not name the first remaining segment, the sealer would take a
+    deleted one for the end and report keys in later segments as not run.
     """
     expiry, write = make_expiry()
     assert (write.name, write.if_version) == ("home-1.0", 1)
@@ -37,18 +38,18 @@
     ]
 
 
-def test_a_sealed_journal_is_left_as_it_is():
+def test_a_sealed_journal_is_not_changed():
     expiry, write = make_expiry()
-    sealed = Stored(9, {**VALUE, "sealed": "host-2"})
+    sealed = StoredObject(9, {**VALUE, "sealed": "host-2"})
     expiry.handle(105.0, WriteConflict(write.tag, sealed))
-    assert expiry.is_sealed_out and expiry.tick(999.0) == []
+    assert expiry.is_fenced and expiry.tick(999.0) == []
 
 
-def test_lost_answers_are_settled_by_the_next_call():
+def test_lost_responses_are_resolved_by_the_next_call():
     expiry, write = make_expiry()
     expiry.handle(105.0, CallFailed(write.tag, sent=True))
     [again] = expiry.tick(106.0)
-    expiry.handle(106.1, WriteConflict(again.tag, Stored(9, write.value)))
+    expiry.handle(106.1, WriteConflict(again.tag, StoredObject(9, write.value)))
     [delete] = expiry.tick(107.0)
     expiry.handle(107.1, CallFailed(delete.tag, sent=True))
     [delete] = expiry.tick(108.0)
--- a/libs/entry/gypsumusher_entry/context.py
+++ b/libs/entry/gypsumusher_entry/context.py
@@ -1,61 +1,63 @@
-"""What the exchanges with callers share: beliefs, connections, counts, the log."""
+"""Shared state of one entry host: settings, cluster state, connections and metrics."""
 
 import asyncio
 import random
 import time
 
-from gypsumusher_entry.lag_watch import LagWatch
-from gypsumusher_entry.overdue import OverdueWatch
+from gypsumusher_entry.staleness_monitor import StalenessMonitor
+from gypsumusher_entry.stall_monitor import StallMonitor
 from gypsumusher_http import ConnectionPool
-from gypsumusher_platform import decode_head
+from gypsumusher_platform import decode_response_head
 from gypsumusher_ports import DecodeError
 from gypsumusher_routing import (
     ALL_ON,
+    CostModel,
     EndpointTable,
-    Fleet,
-    HostNews,
+    EnginePool,
+    HostStatus,
     HostTable,
-    Learnt,
-    RetryShare,
+    RetryBudget,
     RouteTable,
-    active_count,
-    capacity_of,
-    choose_active,
+    active_host_count,
+    choose_active_hosts,
     choose_watchers,
+    host_capacity,
 )
 
 __all__ = ["Context"]
 
 
-# For how long callers keep the list of hosts, in seconds. A stop waits for three times
-# as long, and a dead host is tried for that long; each caller asks once in this time.
+# Time for which callers cache the list of hosts. A planned stop waits three times as
+# long, and callers try a dead host for as long; each caller asks for the list once per
+# TTL.
 DIRECTORY_TTL_S = 1.0
-# A connection within a region opens in a few milliseconds; an opening packet that is
-# lost is sent again after a second, and another endpoint answers sooner than that.
+# A connection within a region opens in a few milliseconds. A lost SYN is sent again
+# after 1 s only, and another endpoint answers sooner than that.
 CONNECT_TIMEOUT_S = 0.35
-# Part of an endpoint's connections that all hosts together use: they don't agree on
-# their number at each moment, and a connection too many is reset.
-USED_CONNECTIONS_PART = 0.9
-# The active hosts are chosen anew this often, in seconds: a host is silent for longer
-# before it counts as dead, and the choice costs a sort of all hosts.
-ACTIVE_KEPT_S = 0.2
+# Fraction of an endpoint's connection limit that all hosts together use. Hosts may
+# disagree for a moment on how many they are, and the endpoint resets connections above
+# its limit.
+USED_CONNECTIONS_FRACTION = 0.9
+# How long a choice of the active hosts is reused. Choosing sorts all hosts, and a host
+# has to be silent for longer than this before it counts as dead.
+ACTIVE_HOSTS_CACHE_S = 0.2
 
 
 class Context:
-    """The state that one entry host's parts work on.
+    """State shared by the components of one entry host.
 
     Parameters
     ----------
     settings : HostSettings
         Settings of the process.
     clock : callable
-        Steady clock in seconds.
+        Monotonic clock in seconds.
     log : callable
         ``log(level, event, **fields)``.
     metrics : Metrics
         Counters and histograms.
     policy : Policy
-        Which mechanisms decide.
+        Routing mechanisms that are switched on.
     """
 
     def __init__(self, settings, clock, log, metrics, policy=ALL_ON):
@@ -64,78 +66,80 @@
         self.clock = clock
         self.log = log
         self.metrics = metrics
-        self.draw = random.random
+        self.draw_uniform = random.random
         self.started_s = clock()
         self.configuration = None
-        self.configuration_source = None
+        self.stored_configuration = None
         self.routes = None
         self.endpoints = EndpointTable()
         self.hosts = HostTable(settings.name)
-        self.lags = LagWatch(self)
-        self.pool = ConnectionPool(clock, decode_head, CONNECT_TIMEOUT_S)
-        self.overdue = OverdueWatch(clock, log, self.next_tick)
-        # Engines that this host has ordered to change their stage, for the peers.
+        self.staleness = StalenessMonitor(self)
+        self.connection_pool = ConnectionPool(
+            clock, decode_response_head, CONNECT_TIMEOUT_S
+        )
+        self.stall_monitor = StallMonitor(clock, log, self.wait_for_tick)
+        # Stage orders of this host that gossip announces to the other hosts.
         self.ordered_stages = []
-        # What is known of the lease for such orders; None until it is sought.
+        # `StageLease`, or None until the host has started to compete for the lease.
         self.stage_lease = None
-        self.is_leaving = False
-        self._store_seen_since_s = None
+        self.is_draining = False
+        self._store_reachable_since_s = None
         self.started_ms = int(time.time() * 1000)
-        self._active = []
-        self._active_at_s = float("-inf")
+        self._active_hosts = []
+        self._active_hosts_chosen_s = float("-inf")
         self.configuration_listeners = []
-        # Called when a prompt is about to be sent to an engine.
-        self.reading_listeners = []
-        # So that hosts that start together don't all wake at the same moments.
-        self._tick_offset_s = self.draw()
-        self._retry_shares = {}
-        self._learnt = {}
-        self._placements = []
-        self._background = set()
+        # Called right before a prompt is sent to an engine for prefill.
+        self.prefill_listeners = []
+        # Random offset: hosts that start together must not wake at the same moments.
+        self._tick_offset_s = self.draw_uniform()
+        self._retry_budgets = {}
+        self._cost_models = {}
+        self._unsent_placements = []
+        self._background_tasks = set()
 
     @property
     def is_ready(self):
-        """Whether this host takes callers."""
-        return not self.is_leaving and self.configuration is not None
+        """Whether this host accepts requests of callers."""
+        return not self.is_draining and self.configuration is not None
 
     @property
     def sees_store(self):
         """Whether the store answers this host."""
-        return self._store_seen_since_s is not None
+        return self._store_reachable_since_s is not None
 
     @sees_store.setter
     def sees_store(self, sees):
         if not sees:
-            self._store_seen_since_s = None
-        elif self._store_seen_since_s is None:
-            self._store_seen_since_s = self.clock()
+            self._store_reachable_since_s = None
+        elif self._store_reachable_since_s is None:
+            self._store_reachable_since_s = self.clock()
 
     @property
-    def store_seen_s(self):
-        """For how long the store has answered this host, in seconds."""
-        since_s = self._store_seen_since_s
+    def store_reachable_s(self):
+        """Time since the store last began to answer this host, in seconds."""
+        since_s = self._store_reachable_since_s
         return 0.0 if since_s is None else self.clock() - since_s
 
     @property
     def configuration_version(self):
-        """Version in force, 0 without one."""
+        """Version of the configuration in force, 0 without one."""
         return 0 if self.configuration is None else self.configuration.version
 
-    def own_news(self, beat=0, period_s=0.0):
-        """Return what this host says of itself.
+    def own_status(self, sequence=0, period_s=0.0):
+        """Return this host's status, as sent to the other hosts.
 
         Parameters
         ----------
-        beat : int
-            Number of the message.
+        sequence : int
+            Sequence number of the message.
         period_s : float
-            After how long the next one comes at the latest, in seconds.
+            Longest time until the next message, in seconds.
         """
         settings = self.settings
-        return HostNews(
+        return HostStatus(
             name=settings.name,
             started_ms=self.started_ms,
-            beat=beat,
+            sequence=sequence,
             ip=settings.ip,
             zone=settings.zone,
             callers_address=settings.callers_address,
@@ -143,236 +147,254 @@
             is_ready=self.is_ready,
             configuration_version=self.configuration_version,
             endpoints_revision=self.endpoints.revision,
-            capacity=capacity_of(settings.cores, settings.link_mbps),
+            capacity=host_capacity(settings.cores, settings.link_mbps),
             sees_store=self.sees_store,
-            store_seen_s=self.store_seen_s,
+            store_reachable_s=self.store_reachable_s,
             period_s=period_s,
-            hosts_recorded=self.hosts.recorded(),
+            hosts_recorded=self.hosts.recorded_count(),
         )
 
     def active_hosts(self):
-        """Return the hosts that callers are sent to, in their common order."""
+        """Return the hosts named by the directory, in an order common to all hosts."""
         now_s = self.clock()
-        if now_s - self._active_at_s > ACTIVE_KEPT_S:
-            hosts = [news for news in self.hosts.live(now_s) if news.is_ready]
+        if now_s - self._active_hosts_chosen_s > ACTIVE_HOSTS_CACHE_S:
+            hosts = [host for host in self.hosts.live(now_s) if host.is_ready]
             if self.is_ready:
-                hosts.append(self.own_news())
-            # One more than those that it knows: itself.
-            self._active = choose_active(hosts, len(self.hosts.addresses()) + 1)
-            self._active_at_s = now_s
-        return self._active
+                hosts.append(self.own_status())
+            # This host itself isn't in the host table.
+            self._active_hosts = choose_active_hosts(
+                hosts, len(self.hosts.addresses()) + 1
+            )
+            self._active_hosts_chosen_s = now_s
+        return self._active_hosts
 
     def is_active(self):
-        """Say whether callers are sent to this host."""
+        """Return whether the directory names this host to callers."""
         name = self.settings.name
-        return any(news.name == name for news in self.active_hosts())
+        return any(host.name == name for host in self.active_hosts())
 
     def watches_store(self):
-        """Say whether this host is one that watches the store for all.
+        """Return whether this host is one of the few that watch the store for all.
 
-        A host that hears of none that sees the store looks for itself.
+        A host also watches the store itself when no peer reports that it sees the
+        store.
         """
         active = self.active_hosts()
         watchers = choose_watchers(active)
-        if any(news.name == self.settings.name for news in watchers):
+        if any(host.name == self.settings.name for host in watchers):
             return True
         now_s = self.clock()
-        return not any(news.sees_store for news in self.hosts.live(now_s))
+        return not any(host.sees_store for host in self.hosts.live(now_s))
 
-    def gives_orders(self):
-        """Say whether this host is the one that orders engines' stages.
+    def should_order_stages(self):
+        """Return whether this host is the one that should hold the stage-order lease.
 
-        Hosts that don't hear each other may both think so; the lease decides then.
+        Hosts that don't receive each other's updates may both be; the lease then
+        decides.
         """
-        for news in self.active_hosts():
-            if news.sees_store:
-                return news.name == self.settings.name
+        for host in self.active_hosts():
+            if host.sees_store:
+                return host.name == self.settings.name
         return False
 
-    def hosts_count(self):
-        """Return the number of hosts that share the work, this one among them.
+    def expected_host_count(self):
+        """Return the number of hosts that share the load, this one included.
 
-        Those that this host doesn't hear may be at work all the same.
+        Hosts that are on record but silent are counted, since they may still be
+        serving.
         """
-        expected = active_count(self.hosts.existing())
+        expected = active_host_count(self.hosts.existing_count())
         return max(1, len(self.active_hosts()), expected)
 
-    def adopt(self, configuration, stored, source):
-        """Put a configuration in force, unless it is older than the one that is.
+    def apply_configuration(self, configuration, stored, source):
+        """Put a configuration in force, unless it is older than the one in force.
 
-        Failure guarded against: a late answer or a peer that lags would bring back
-        routes that are gone; it shows as requests run by a service that no longer
-        takes them. Versions only grow, so the older one is passed over.
+        A late response of the store or a peer that lags would otherwise bring back
+        removed routes, and services would run requests that they no longer accept.
+        Versions only grow, so an older one is ignored.
 
         Parameters
         ----------
         configuration : Configuration
-            The decoded form.
+            The decoded configuration.
         stored : StoredObject
-            What it was decoded from, for peers that can't read the store.
+            The stored form, for peers that can't read the store.
         source : str
-            Who told of it.
+            Name of the peer that sent it, or ``store``.
 
         Returns
         -------
         bool
-            Whether it is in force now and wasn't before.
+            Whether the configuration was put in force by this call.
         """
         if configuration.version <= self.configuration_version:
             return False
-        known = self.configuration_version
+        previous_version = self.configuration_version
         self.configuration = configuration
-        self.configuration_source = stored
-        self.metrics.configured(configuration.version)
+        self.stored_configuration = stored
+        self.metrics.set_configuration_version(configuration.version)
         self.routes = RouteTable(configuration)
-        memory = {}
+        cache_capacity_tokens = {}
         for service in configuration.services.values():
             if service.engine is not None:
-                memory[service.name] = service.engine.kv_tokens
-        self.endpoints.set_memory(memory)
+                cache_capacity_tokens[service.name] = service.engine.kv_tokens
+        self.endpoints.set_cache_capacity(cache_capacity_tokens)
         for listener in self.configuration_listeners:
             listener(configuration)
         self.log(
             "info",
             "configuration_adopted",
             version=configuration.version,
-            before=known,
+            before=previous_version,
             source=source,
             routes=len(configuration.routes),
         )
         return True
 
     def directory_ttl_s(self):
-        """Return for how long callers may keep the list of hosts, in seconds."""
+        """Return the time for which callers may cache the list of hosts, in seconds."""
         return min(DIRECTORY_TTL_S, self.settings.bounds.directory_ttl_max_s)
 
-    def retry_share(self, service):
-        """Return this host's share of the retries of a service."""
-        share = self._retry_shares.get(service)
-        if share is None:
+    def retry_budget(self, service):
+        """Return this host's share of the retry budget of a service."""
+        budget = self._retry_budgets.get(service)
+        if budget is None:
             bounds = self.settings.bounds
-            share = self._retry_shares[service] = RetryShare(
+            budget = self._retry_budgets[service] = RetryBudget(
                 bounds.retry_ratio,
                 bounds.retry_slack,
                 bounds.retry_window_s,
                 self.started_s,
             )
-        return share
+        return budget
 
-    def learnt(self, service):
-        """Return what the engines of a service have taught this host."""
-        if service not in self._learnt:
-            self._learnt[service] = Learnt(self.policy)
-        return self._learnt[service]
+    def cost_model(self, service):
+        """Return the cost model that this host has fitted to a service's engines."""
+        if service not in self._cost_models:
+            self._cost_models[service] = CostModel(self.policy)
+        return self._cost_models[service]
 
-    def fleet(self, service, limits, states=None):
-        """Return the engines that a request may use now.
+    def engine_pool(self, service, limits, states=None):
+        """Return the engines of a service that a request may use now.
 
         Parameters
         ----------
         service : str
-            The service.
+            Name of the service.
         limits : EngineLimits
-            What its engines have in common.
+            Limits that all engines of the service have in common.
         states : list of EndpointState or None
-            Engines to choose from; all usable ones by default.
+            Engines to choose from; by default all usable ones.
         """
         if states is None:
             states = self.endpoints.of_service(service)
-        learnt, zone = self.learnt(service), self.settings.zone
-        connections = self.connections_max(service)
-        return Fleet(states, limits, learnt, zone, connections, self.policy)
+        cost_model, zone = self.cost_model(service), self.settings.zone
+        connections = self.connection_limit(service)
+        return EnginePool(states, limits, cost_model, zone, connections, self.policy)
 
     def take_retry(self, service):
-        """Use one retry of a service, unless this host's share is spent.
+        """Take one retry from this host's share of a service's budget, if any is left.
 
         Returns
         -------
         RetryDecision
+            Whether the retry is allowed.
         """
-        return self.retry_share(service).take(self.clock(), self.hosts.existing())
-
-    def note_request(self, service):
-        """Count a request of a service, for the retries that it allows."""
-        self.retry_share(service).on_first(self.clock(), self.hosts.existing())
-
-    def connections_max(self, service):
-        """Return how many connections this host may have to one endpoint."""
-        known = self.configuration.services.get(service)
-        if known is None:
-            # A version that came meanwhile has dropped the service; what was begun
-            # under the one before ends on the few connections that every host may have.
+        return self.retry_budget(service).take(
+            self.clock(), self.hosts.existing_count()
+        )
+
+    def record_request(self, service):
+        """Count a request of a service; the retry budget grows with it."""
+        self.retry_budget(service).on_first_send(
+            self.clock(), self.hosts.existing_count()
+        )
+
+    def connection_limit(self, service):
+        """Return how many connections this host may open to one endpoint."""
+        service_settings = self.configuration.services.get(service)
+        if service_settings is None:
+            # A newer configuration has removed the service. Requests that began under
+            # the old one finish on the few connections that the pool grants every host.
             return 0
-        return int(USED_CONNECTIONS_PART * known.max_connections / self.hosts_count())
+        return int(
+            USED_CONNECTIONS_FRACTION
+            * service_settings.max_connections
+            / self.expected_host_count()
+        )
 
-    async def acquire(self, record, connections_max, is_fresh=False):
+    async def acquire(self, record, connection_limit, requires_new=False):
         """Return a connection to one incarnation of an endpoint.
 
-        The rest is as of `ConnectionPool.acquire`.
+        The other parameters are those of `ConnectionPool.acquire`.
         """
         key = (*record.incarnation, record.address)
-        return await self.pool.acquire(key, record.address, connections_max, is_fresh)
+        return await self.connection_pool.acquire(
+            key, record.address, connection_limit, requires_new
+        )
 
-    def note_reading_begun(self):
-        """Note that an engine is about to be sent a prompt to read."""
-        for listener in self.reading_listeners:
+    def notify_prefill_start(self):
+        """Call the listeners: an engine is about to be sent a prompt for prefill."""
+        for listener in self.prefill_listeners:
             listener()
 
-    def note_placement(self, state, parts, wait_s=0.0):
-        """Note that an engine keeps parts of a prompt, here and for the peers.
+    def record_prefix_placement(self, state, parts, wait_s=0.0):
+        """Record that an engine caches parts of a prompt, and queue that for gossip.
 
         Parameters
         ----------
         state : EndpointState
             The engine.
         parts : sequence of PromptPart
-            The prompt's parts. The last one is the request's own, and is told to
-            nobody: only its session could ask for it again.
+            The prompt's parts. The last one belongs to this request alone and isn't
+            sent to other hosts: only later requests of its session could reuse it.
         wait_s : float
-            Time until they are read, in seconds; 0 when they are.
+            Expected time until the parts are cached, in seconds; 0 when they already
+            are.
         """
         chain = [[part.part_id, part.tokens] for part in parts]
         shared = chain[:-1]
         if wait_s:
-            state.prefixes.note_coming(shared, self.clock() + wait_s)
+            state.prefixes.add_pending(shared, self.clock() + wait_s)
         else:
-            state.prefixes.note_chain(chain)
+            state.prefixes.add_chain(chain)
         if shared:
             placement = [state.record.endpoint_id, shared, round(wait_s, 2)]
-            self._placements.append(placement)
+            self._unsent_placements.append(placement)
 
-    def take_placements(self, count):
-        """Return what was noted and not told yet, the oldest first, up to a count."""
-        placements = self._placements[:count]
-        del self._placements[:count]
+    def pop_placements(self, count):
+        """Return and remove the oldest unsent placements, at most `count`."""
+        placements = self._unsent_placements[:count]
+        del self._unsent_placements[:count]
         return placements
 
-    async def next_tick(self, period_s):
+    async def wait_for_tick(self, period_s):
         """Wait until the next multiple of a period, in seconds.
 
-        Made for hundreds of hosts that mostly wait. Each wake-up of a process costs as
-        much as the work that is done in it; periodic work on common ticks shares them.
+        With hundreds of mostly idle hosts, waking a process costs as much as the work
+        done on waking. Periodic tasks on common ticks share the wake-ups.
         """
         passed_s = (self.clock() + self._tick_offset_s) % period_s
         await asyncio.sleep(period_s - passed_s)
 
     def spawn(self, coroutine):
-        """Run something that no caller waits for; its failure is logged."""
+        """Run a coroutine in the background; a failure is logged."""
         task = asyncio.ensure_future(coroutine)
-        self._background.add(task)
+        self._background_tasks.add(task)
         task.add_done_callback(self._on_background_done)
         return task
 
     async def close(self):
-        """End what runs in the background."""
-        await self.overdue.close()
-        for task in list(self._background):
+        """Cancel the background tasks and close all connections to endpoints."""
+        await self.stall_monitor.close()
+        for task in list(self._background_tasks):
             task.cancel()
-        await asyncio.gather(*self._background, return_exceptions=True)
-        self.pool.close()
+        await asyncio.gather(*self._background_tasks, return_exceptions=True)
+        self.connection_pool.close()
 
     def _on_background_done(self, task):
-        self._background.discard(task)
+        """Log the failure of a background task."""
+        self._background_tasks.discard(task)
         if task.cancelled() or task.exception() is None:
             return
         level = "warning" if isinstance(task.exception(), DecodeError) else "error"
--- /dev/null
+++ b/libs/entry/gypsumusher_entry/host_api.py
@@ -0,0 +1,106 @@
+"""HTTP paths for readiness, the directory of hosts, peer sync and metrics."""
+
+import json
+
+from gypsumusher_entry.peer_sync import PEER_SYNC_PATH
+from gypsumusher_entry.sync_messages import SyncResponse, SyncResponseEncoder
+from gypsumusher_platform import READY_PATH, RESOLVE_PATH, encode_host_list
+
+__all__ = ["create_api_handler"]
+
+_JSON = ("Content-Type", "application/json")
+_MSGPACK = ("Content-Type", "application/msgpack")
+
+
+def create_api_handler(context):
+    """Return the coroutine function that answers one request.
+
+    Parameters
+    ----------
+    context : Context
+        State to answer from.
+
+    Returns
+    -------
+    callable
+        ``handle(request, reply)``.
+    """
+    encoder = SyncResponseEncoder()
+
+    def answer_ready(_):
+        status = 200 if context.is_ready else 503
+        return status, [_JSON], _encode_json({"ready": context.is_ready})
+
+    def answer_hosts(_):
+        addresses = [host.callers_address for host in context.active_hosts()]
+        if not addresses:
+            addresses = [context.settings.callers_address]
+        addresses.sort(key=lambda _: context.draw_uniform())
+        hosts = encode_host_list(addresses, context.directory_ttl_s())
+        return 200, [_JSON], _encode_json(hosts)
+
+    def answer_sync(query):
+        from urllib.parse import parse_qs
+
+        known = parse_qs(query)
+        version = _parse_number(known, "version")
+        revision = _parse_number(known, "revision")
+        accepts_changes = "changes" in known
+        response = _state_newer_than(context, version, revision, accepts_changes)
+        body = encoder.encode(response)
+        return 200, [_MSGPACK], body
+
+    def answer_metrics(_):
+        body, headers = context.metrics.render()
+        return 200, headers.items(), body
+
+    answers = {
+        READY_PATH: answer_ready,
+        RESOLVE_PATH: answer_hosts,
+        PEER_SYNC_PATH: answer_sync,
+        "/metrics": answer_metrics,
+    }
+
+    async def handle(request, reply):
+        path, _, query = request.target.partition("?")
+        answer = answers.get(path)
+        if answer is None:
+            reply.send(404, [_JSON], _encode_json({"error": "no such path"}))
+            return
+        if request.method not in ("GET", "HEAD"):
+            reply.send(405, [("Allow", "GET, HEAD")], b"")
+            return
+        reply.send(*answer(query))
+
+    return handle
+
+
+def _encode_json(value):
+    return json.dumps(value).encode()
+
+
+def _parse_number(known, name):
+    """Return a number of the query, or -1 when it has none."""
+    text = known.get(name, [""])[0]
+    return int(text) if text.isascii() and text.isdigit() else -1
+
+
+def _state_newer_than(context, version, revision, accepts_changes):
+    """Return the state that a host at a given version and revision lacks.
+
+    An incomplete list of endpoints is sent whatever the revision: entries that return
+    to it don't change the revision.
+    """
+    endpoints = context.endpoints
+    is_complete = not endpoints.is_in_grace_period(context.clock())
+    stored = context.stored_configuration
+    if context.configuration_version <= version:
+        stored = None
+    records = removed = None
+    if endpoints.revision > revision or not is_complete:
+        changes = endpoints.changes_since(revision) if is_complete else None
+        if changes is not None and accepts_changes:
+            records, removed = map(tuple, changes)
+        else:
+            records = tuple(endpoints.listed_records())
+    return SyncResponse(stored, records, endpoints.revision, is_complete, removed)
--- a/libs/entry/gypsumusher_entry/metrics.py
+++ b/libs/entry/gypsumusher_entry/metrics.py
@@ -4,42 +4,42 @@
 
 __all__ = ["Metrics"]
 
-# From the network's own time to the longest deadline, in seconds.
-BUCKETS_S = [0.01, 0.03, 0.06, 0.125, 0.25, 0.5, 0.8, 1.5, 3.0, 6.0, 10.0]
+# From the network overhead to the longest deadline.
+HISTOGRAM_BUCKETS_S = [0.01, 0.03, 0.06, 0.125, 0.25, 0.5, 0.8, 1.5, 3.0, 6.0, 10.0]
 
 
 class _Collectors(NamedTuple):
-    """The collectors of the metrics library."""
+    """Collectors of the metrics library."""
 
     registry: Any
-    ended: Any
+    requests: Any
     running: Any
-    whole: Any
-    first: Any
+    total_time: Any
+    first_output_time: Any
     stage_orders: Any
     version: Any
     lag: Any
 
 
 class Metrics:
-    """The host's metrics; the routes' names are the only open-ended label.
+    """Metrics of the host; route names are the only label with an open set of values.
 
-    The library is imported with the first request that has ended: a host that starts
-    after the loss of all hosts has callers waiting for it.
+    The library is imported at the end of the first request: after a loss of all hosts,
+    callers are waiting for each host to start.
     """
 
     def __init__(self):
         self._collectors = None
-        self._count = 0
-        self._known_version = 0
+        self._running_count = 0
+        self._configuration_version = 0
         self._lags_s = {}
 
-    def began(self):
-        """Count a request in."""
-        self._count += 1
+    def on_request_start(self):
+        """Count a request that starts."""
+        self._running_count += 1
 
-    def ended(self, route, outcome, took_s, first_s):
-        """Count a request out.
+    def on_request_end(self, route, outcome, took_s, first_s):
+        """Count a request that ends.
 
         Parameters
         ----------
@@ -48,36 +48,36 @@
         outcome : str
             Status and reason.
         took_s : float
-            From arrival to the end, in seconds.
+            Time from arrival to the end, in seconds.
         first_s : float or None
-            From arrival to the first of the answer, in seconds.
+            Time from arrival to the first part of the response, in seconds.
         """
-        self._count -= 1
+        self._running_count -= 1
         collectors = self._load()
-        collectors.ended.inc({"route": route, "outcome": outcome or "none"})
-        collectors.whole.observe({"route": route}, took_s)
+        collectors.requests.inc({"route": route, "outcome": outcome or "none"})
+        collectors.total_time.observe({"route": route}, took_s)
         if first_s is not None:
-            collectors.first.observe({"route": route}, first_s)
+            collectors.first_output_time.observe({"route": route}, first_s)
 
-    def stage_ordered(self, stage, outcome):
-        """Count an order to an engine that has ended.
+    def on_stage_order_end(self, stage, outcome):
+        """Count a stage order that ended.
 
         Parameters
         ----------
         stage : str
-            The stage that was wanted.
+            The ordered stage.
         outcome : str
-            How it ended.
+            Its outcome.
         """
         labels = {"stage": stage, "outcome": outcome or "left"}
         self._load().stage_orders.inc(labels)
 
-    def configured(self, version):
-        """Note the version of the configuration in force."""
-        self._known_version = version
+    def set_configuration_version(self, version):
+        """Set the version of the configuration in force."""
+        self._configuration_version = version
 
-    def lagged(self, kind, lag_s):
-        """Note for how long peers have known more of a kind of news, in seconds."""
+    def set_lag(self, kind, lag_s):
+        """Set the time for which peers have had newer state of a kind, in seconds."""
         self._lags_s[kind] = lag_s
 
     def render(self):
@@ -85,26 +85,27 @@
         from aioprometheus.renderer import render
 
         collectors = self._load()
-        collectors.running.set({}, self._count)
-        collectors.version.set({}, self._known_version)
+        collectors.running.set({}, self._running_count)
+        collectors.version.set({}, self._configuration_version)
         for kind, lag_s in self._lags_s.items():
             collectors.lag.set({"kind": kind}, lag_s)
         return render(collectors.registry, [])
 
     def _load(self):
-        """Return the collectors; the first call makes them."""
+        """Return the collectors, creating them at the first call."""
         if self._collectors is None:
             self._collectors = _create_collectors()
         return self._collectors
 
 
 def _create_collectors():
+    """Import the metrics library and create the collectors."""
     from aioprometheus import Counter, Gauge, Histogram, Registry
 
     registry = Registry()
     return _Collectors(
         registry=registry,
-        ended=Counter(
+        requests=Counter(
             "gypsumusher_requests_total",
             "Requests of callers by route and outcome",
             registry=registry,
@@ -114,16 +115,16 @@
             "Requests that are being served",
             registry=registry,
         ),
-        whole=Histogram(
+        total_time=Histogram(
             "gypsumusher_answer_s",
             "Arrival to the end of the answer",
-            buckets=BUCKETS_S,
+            buckets=HISTOGRAM_BUCKETS_S,
             registry=registry,
         ),
-        first=Histogram(
+        first_output_time=Histogram(
             "gypsumusher_first_s",
             "Arrival to the answer, of a stream to its first event",
-            buckets=BUCKETS_S,
+            buckets=HISTOGRAM_BUCKETS_S,
             registry=registry,
         ),
         stage_orders=Counter(
--- /dev/null
+++ b/libs/entry/gypsumusher_entry/sending_to_endpoints.py
@@ -0,0 +1,238 @@
+"""Sending one request to one endpoint, with the counts of runs and failures."""
+
+import asyncio
+import contextlib
+from typing import NamedTuple
+
+from gypsumusher_http import CallError
+from gypsumusher_platform import encode_endpoint_request
+from gypsumusher_ports import ANY_TIMES
+
+__all__ = [
+    "call_engine",
+    "check_response_head",
+    "may_send_again",
+    "record_failure",
+    "silence_timeout",
+    "start_send",
+]
+
+# From this penalty on, a new connection is opened for each send. A crashed endpoint
+# resets a kept-alive connection only when the next request arrives, which may then have
+# run; a new connection is refused before anything is sent.
+NEW_CONNECTION_PENALTY = 0.2
+# Failure reasons that aren't counted against the endpoint: it drains as planned, it
+# serves earlier requests first, or this host has used up its connections.
+BLAMELESS_REASONS = ("left", "behind", "no_connection")
+
+
+class EngineReply(NamedTuple):
+    """Complete response to a call that isn't a caller's request.
+
+    Attributes
+    ----------
+    status : int
+        HTTP status.
+    body : bytes
+        The complete body.
+    """
+
+    status: int
+    body: bytes
+
+
+async def start_send(exchange, state, send):
+    """Send a request to an endpoint; return the response before its head has arrived.
+
+    Parameters
+    ----------
+    exchange : Exchange
+        The request.
+    state : EndpointState
+        The endpoint; it is checked again right before the first byte, since it may have
+        started to drain while the connection was opened.
+    send : SendOptions
+        What this send adds to the request.
+
+    Returns
+    -------
+    Response
+
+    Raises
+    ------
+    CallError
+        When nothing was sent.
+    NoRetryError
+        When this send would be a retry, and none is left in the budget.
+    """
+    context, record = exchange.context, state.record
+    exchange.reserve_send()
+    exchange.send_counter.begin()
+    try:
+        connection = await _connect(context, state)
+    except CallError:
+        exchange.send_counter.cancel()
+        raise
+    exchange.send_counter.on_sent()
+    if not send.is_prefill:
+        # Counted before the first byte: after it, only a response of the endpoint can
+        # rule out that the request ran.
+        exchange.possible_runs += 1
+        exchange.run_endpoint_id = record.endpoint_id
+    data = encode_endpoint_request(exchange.request, send)
+    return connection.send(data, exchange.request.request_id or None)
+
+
+async def _connect(context, state):
+    """Return a connection to an endpoint that still accepts new work."""
+    record = state.record
+    limit = context.connection_limit(record.service)
+    requires_new = state.health.penalty(context.clock()) >= NEW_CONNECTION_PENALTY
+    connection = await context.acquire(record, limit, requires_new)
+    if not context.endpoints.is_current(state):
+        context.connection_pool.release(connection)
+        raise CallError("connect", record.address, "left", False)
+    return connection
+
+
+def check_response_head(exchange, state, head):
+    """Update the endpoint's and the request's state from the head of a response.
+
+    Parameters
+    ----------
+    exchange : Exchange
+        The request.
+    state : EndpointState
+        The endpoint.
+    head : ResponseHead
+        The head of its response.
+
+    Raises
+    ------
+    CallError
+        When the request didn't run, or when a response that looks like a success wasn't
+        made by the endpoint.
+    """
+    record = state.record
+    if head.is_wrong_endpoint:
+        exchange.context.endpoints.on_wrong_endpoint(record.endpoint_id)
+    if head.is_not_run:
+        exchange.possible_runs -= 1
+        raise CallError("run", record.address, "full", False)
+    is_success = 200 <= head.status < 300
+    if is_success and (not head.is_signed or head.has_content_encoding):
+        raise CallError("run", record.address, "garbled", True)
+
+
+async def call_engine(context, record, call, timeout_s):
+    """Make a call to an engine that isn't a caller's request.
+
+    Parameters
+    ----------
+    context : Context
+        Shared state.
+    record : EndpointRecord
+        The engine.
+    call : bytes
+        The encoded call.
+    timeout_s : float
+        Time limit of the whole call, in seconds.
+
+    Returns
+    -------
+    EngineReply
+
+    Raises
+    ------
+    CallError, TimeoutError
+        When no complete response arrived.
+    """
+    response = None
+    try:
+        async with asyncio.timeout(timeout_s):
+            limit = context.connection_limit(record.service)
+            connection = await context.acquire(record, limit)
+            response = connection.send(call, None)
+            head = await response.head()
+            return EngineReply(head.status, await response.body())
+    finally:
+        if response is not None:
+            response.close()
+
+
+def record_failure(exchange, state, error, **fields):
+    """Log a failed send, and count it against the endpoint."""
+    context = exchange.context
+    now_s = context.clock()
+    if error.reason not in BLAMELESS_REASONS:
+        state.health.on_failure(now_s, error.reason)
+    exchange.log(
+        "warning",
+        "send_failed",
+        step=error.step,
+        endpoint=state.record.endpoint_id,
+        reason=error.reason,
+        may_have_run=error.may_have_run,
+        penalty=round(state.health.penalty(now_s), 2),
+        **fields,
+    )
+
+
+def may_send_again(exchange):
+    """Return whether a request may be sent to another endpoint.
+
+    Once bytes of a request that must run at most once may have arrived, only an
+    explicit "not run" of the endpoint allows another send; otherwise a booking could be
+    made twice.
+
+    Parameters
+    ----------
+    exchange : Exchange
+        The request.
+    """
+    route = exchange.route
+    if not exchange.may_have_run:
+        return True
+    is_idempotent = route.kind == ANY_TIMES or route.is_resumable
+    return is_idempotent and exchange.possible_runs < route.max_endpoints
+
+
+@contextlib.asynccontextmanager
+async def silence_timeout(exchange, silent_s, longest_s):
+    """Limit the wait for an engine; end it early only if another may be tried.
+
+    Without that condition, a request left a late engine, had no retry left for another
+    one, and was refused although its response was on the way.
+
+    Parameters
+    ----------
+    exchange : Exchange
+        The request.
+    silent_s : float
+        Time after which the wait ends if the request may be sent again, in seconds;
+        otherwise this is checked again each time as much time has passed.
+    longest_s : float
+        Time after which the wait ends in any case, in seconds.
+
+    Raises
+    ------
+    TimeoutError
+        When the wait is over.
+    """
+    loop = asyncio.get_running_loop()
+
+    def end_wait():
+        nonlocal timer
+        if limit.expired():
+            return
+        if may_send_again(exchange) and exchange.try_reserve_send():
+            limit.reschedule(loop.time())
+        else:
+            timer = loop.call_later(silent_s, end_wait)
+
+    async with asyncio.timeout(longest_s) as limit:
+        timer = loop.call_later(silent_s, end_wait)
+        try:
+            yield
+        finally:
+            timer.cancel()
--- a/libs/entry/gypsumusher_entry/stage_orders.py
+++ b/libs/entry/gypsumusher_entry/stage_orders.py
@@ -1,13 +1,13 @@
-"""Orders that change engines' stages, by the one host that holds the lease for them."""
+"""Orders that change engines' stages, sent by the one host that holds the lease."""
 
 import asyncio
 
-from gypsumusher_entry.sending import ask_engine
+from gypsumusher_entry.sending_to_endpoints import call_engine
 from gypsumusher_http import CallError
 from gypsumusher_platform import (
+    decode_engine_report,
     decode_order_status,
-    decode_report,
-    encode_report_call,
+    encode_report_request,
     encode_stage_order,
 )
 from gypsumusher_ports import DecodeError, OrderOutcome
@@ -17,34 +17,34 @@
     GIVEN_UP,
     SEND,
     EngineView,
-    StageNews,
+    OrderedStage,
     StageOrder,
     StagePlanner,
 )
 
 __all__ = ["StageOrders"]
 
-# How often the demand is looked at, in seconds: often against the second for which a
-# stage may be missing.
-LOOK_S = 0.2
-STEP_S = 0.1
-# Longest wait for an engine's answer to a call, in seconds; it answers in milliseconds.
+# How often the demand is evaluated: several times within the 1 s for which a stage may
+# be missing.
+PLAN_INTERVAL_S = 0.2
+POLL_S = 0.1
+# Time limit of a call to an engine, which answers within milliseconds.
 CALL_TIMEOUT_S = 0.8
-# Authority that must be left when an order goes out, in seconds: it may be on its way
-# for as long as its answer is waited for.
-AUTHORITY_S = CALL_TIMEOUT_S
-# An engine's entry tells of its new stage within its heartbeat and the store's lag;
-# until then, in seconds, hosts go by what is said here.
-STAGE_KEPT_S = 6.0
+# Least remaining time of the lease when an order is sent: the order may be in transit
+# for as long as its response is waited for.
+MIN_LEASE_S = CALL_TIMEOUT_S
+# Time after which an engine's entry shows its new stage, by its heartbeat interval and
+# the store's lag. Until then hosts rely on this host's announcement.
+STAGE_ANNOUNCEMENT_S = 6.0
 
 
 class StageOrders:
-    """Plans stages while this host holds the lease, and carries the changes out.
+    """Plans stages and carries out the changes while this host holds the lease.
 
     Parameters
     ----------
     context : Context
-        What is known of the engines, and of the demand.
+        State of the engines and the demand.
     lease : StageLease
         Authority to give orders.
     """
@@ -56,19 +56,20 @@
         self._orders = {}
 
     async def start(self):
-        """Begin to plan, until the context is closed."""
+        """Start to plan, until the context is closed."""
         if not self._context.policy.stages:
             return
         self._context.spawn(self._run())
 
     async def _run(self):
+        """Plan at each tick at which this host holds the lease for long enough."""
         while True:
-            await self._context.next_tick(LOOK_S)
-            if self._lease.is_held_for(AUTHORITY_S):
-                self._look()
+            await self._context.wait_for_tick(PLAN_INTERVAL_S)
+            if self._lease.is_held_for(MIN_LEASE_S):
+                self._plan()
 
-    def _look(self):
-        """Plan each service's stages, and begin the changes."""
+    def _plan(self):
+        """Plan the stages of each service, and start the changes."""
         context = self._context
         if context.configuration is None:
             return
@@ -76,14 +77,14 @@
             if service.engine is None:
                 continue
             planner = self._planners.setdefault(service.name, StagePlanner())
-            change = planner.look(context.clock(), self._views(service.name))
+            change = planner.next_change(context.clock(), self._views(service.name))
             if change is not None:
                 self._begin(service.name, change)
 
     def _begin(self, service, change):
-        """Begin to carry a change out."""
+        """Start to carry out a change."""
         context = self._context
-        # The state before: which stages there are, and what refuses all requests.
+        # The state before the change: the missing stage makes all requests be refused.
         context.log(
             "warning",
             "stage_missing",
@@ -100,7 +101,7 @@
         context.spawn(self._carry_out(state, order))
 
     def _views(self, service):
-        """Return what the planner is to know of a service's engines."""
+        """Return the planner's view of the engines of a service."""
         context = self._context
         now_s = context.clock()
         views = []
@@ -108,19 +109,21 @@
             if state.record.service != service or state.stage is None:
                 continue
             load = state.load(now_s)
-            news = state.stage_news
+            ordered = state.ordered_stage
             order = self._orders.get(endpoint_id)
-            is_switching = order is not None or (news is not None and news.is_switching)
-            # One that changes its stage refuses work, which says nothing against it.
+            is_switching = order is not None or (
+                ordered is not None and ordered.is_switching
+            )
+            # An engine that changes its stage refuses work, which isn't a failure.
             is_sound = is_switching or not state.health.is_avoided(now_s)
-            if state.record.is_leaving or state.is_withdrawn:
+            if state.record.is_draining or state.is_address_taken:
                 is_sound = False
             views.append(
                 EngineView(
                     endpoint_id,
                     state.stage if order is None else order.stage,
                     is_sound,
-                    state.record.is_leaving,
+                    state.record.is_draining,
                     is_switching,
                     load.running,
                 )
@@ -128,7 +131,7 @@
         return views
 
     async def _carry_out(self, state, order):
-        """Drive one order to its end."""
+        """Carry out one order until it is done or abandoned."""
         context, record = self._context, state.record
         step = None
         try:
@@ -137,23 +140,23 @@
                 if step in (DONE, GIVEN_UP):
                     break
                 if step == ASK:
-                    order.on_report(context.clock(), await self._report(record))
+                    order.on_report(context.clock(), await self._fetch_report(record))
                 elif step == SEND:
-                    if not self._lease.is_held_for(AUTHORITY_S):
+                    if not self._lease.is_held_for(MIN_LEASE_S):
                         break
                     await self._send(state, order)
                 else:
-                    await asyncio.sleep(STEP_S)
+                    await asyncio.sleep(POLL_S)
         finally:
             del self._orders[record.endpoint_id]
-            self._tell(state, None)
+            self._announce(state, None)
             if step == DONE:
-                news = StageNews(order.stage, False)
-                state.on_stage_news(context.clock(), news, STAGE_KEPT_S)
-                self._tell(state, news)
+                ordered = OrderedStage(order.stage, False)
+                state.on_stage_ordered(context.clock(), ordered, STAGE_ANNOUNCEMENT_S)
+                self._announce(state, ordered)
             elif order.sends:
-                state.drop_stage_news(float("inf"))
-        context.metrics.stage_ordered(order.stage, step)
+                state.expire_ordered_stage(float("inf"))
+        context.metrics.on_stage_order_end(order.stage, step)
         context.log(
             "info",
             "stage_order_ended",
@@ -164,15 +167,15 @@
             term=self._lease.term,
         )
         if step == DONE:
-            await asyncio.sleep(STAGE_KEPT_S)
-            self._tell(state, None)
+            await asyncio.sleep(STAGE_ANNOUNCEMENT_S)
+            self._announce(state, None)
 
-    async def _report(self, record):
-        """Return an engine's report, or None when none came."""
-        call = encode_report_call(record.address)
+    async def _fetch_report(self, record):
+        """Return an engine's report, or None when none arrived."""
+        call = encode_report_request(record.address)
         try:
-            reply = await ask_engine(self._context, record, call, CALL_TIMEOUT_S)
-            return decode_report(record.endpoint_id, reply.body)
+            reply = await call_engine(self._context, record, call, CALL_TIMEOUT_S)
+            return decode_engine_report(record.endpoint_id, reply.body)
         except (CallError, DecodeError, TimeoutError) as error:
             self._context.log(
                 "info",
@@ -183,12 +186,13 @@
             return None
 
     async def _send(self, state, order):
-        """Send an order once; note what its answer says."""
+        """Send an order once and record the outcome."""
         context, record = self._context, state.record
-        # From the first byte on the engine may refuse work, so no host sends it any.
-        news = StageNews(order.stage, True)
-        state.on_stage_news(context.clock(), news, float("inf"))
-        self._tell(state, news)
+        # The engine may refuse work from the first byte of the order on, so no host
+        # sends it any.
+        ordered = OrderedStage(order.stage, True)
+        state.on_stage_ordered(context.clock(), ordered, float("inf"))
+        self._announce(state, ordered)
         order.on_send(context.clock())
         call = encode_stage_order(
             record,
@@ -198,7 +202,7 @@
             order.order_count,
         )
         try:
-            reply = await ask_engine(context, record, call, CALL_TIMEOUT_S)
+            reply = await call_engine(context, record, call, CALL_TIMEOUT_S)
             outcome, detail = decode_order_status(reply.status), None
         except (CallError, TimeoutError) as error:
             outcome, detail = OrderOutcome.UNKNOWN, str(error) or "timeout"
@@ -215,12 +219,12 @@
             detail=detail,
         )
 
-    def _tell(self, state, news):
-        """Have the peers told what was ordered of an engine; None ends that."""
+    def _announce(self, state, ordered):
+        """Set what gossip announces of an engine's stage; None ends that."""
         context, record = self._context, state.record
-        told = [
+        announced = [
             item for item in context.ordered_stages if item[0] != record.endpoint_id
         ]
-        if news is not None:
-            told.append([*record.incarnation, news.stage, news.is_switching])
-        context.ordered_stages = told
+        if ordered is not None:
+            announced.append([*record.incarnation, ordered.stage, ordered.is_switching])
+        context.ordered_stages = announced
--- /dev/null
+++ b/libs/entry/gypsumusher_entry/store_watcher.py
@@ -0,0 +1,304 @@
+"""Follows the configuration and the endpoints in the store."""
+
+import asyncio
+
+from returns.result import Failure
+
+from gypsumusher_entry.staleness_monitor import CONFIGURATION, ENDPOINTS
+from gypsumusher_platform import (
+    CONFIGURATION_KIND,
+    CONFIGURATION_NAME,
+    ENDPOINTS_KIND,
+    decode_configuration,
+    decode_endpoint,
+)
+from gypsumusher_ports import DecodeError
+
+__all__ = ["StoreWatcher", "apply_stored_configuration"]
+
+# Kinds of objects that a host follows; it sees the store while both are answered.
+FOLLOWED_KINDS = frozenset((CONFIGURATION_KIND, ENDPOINTS_KIND))
+STATE_OF_KIND = {CONFIGURATION_KIND: CONFIGURATION, ENDPOINTS_KIND: ENDPOINTS}
+# Margin by which a watch ends before a silent connection could violate a bound: the
+# next call has to be answered within it.
+WATCH_MARGIN_S = 1.0
+WATCH_MIN_S, WATCH_MAX_S = 1.0, 20.0
+# Back-off between calls to a store that doesn't answer. It starts low because the
+# bounds count from the store's return, and its limit keeps the calls of all hosts
+# within the store's rate limits.
+MIN_PAUSE_S, MAX_PAUSE_S = 0.1, 0.5
+# A store whose last call failed within this time may have returned without the entries
+# that expired while it was down. While it is down, a following host calls it again
+# within 2 s; after an older failure the host had left watching to others, and finds all
+# entries there again.
+RECENT_FAILURE_S = 3.0
+# Time within which peers that see the store report it.
+PEER_UPDATE_DELAY_S = 0.15
+# How often a host that leaves watching to others checks whether they still watch.
+WATCHED_BY_PEERS_POLL_S = 0.2
+# Limits the back-off between a lagging host's own reads of the store.
+MAX_OWN_READ_PAUSE_S = 5.0
+# Time after which hosts that start together have received each other's updates and
+# agree on which of them watch the store.
+PEERS_KNOWN_AFTER_S = 0.5
+# How often endpoints with missing entries are dropped.
+DROP_INTERVAL_S = 0.2
+
+
+class StoreWatcher:
+    """Keeps the configuration and the endpoints up to date from the store.
+
+    Parameters
+    ----------
+    context : Context
+        Receives the configuration and the endpoints.
+    store : StoreClient
+        The store.
+    """
+
+    def __init__(self, context, store):
+        self._context = context
+        self._store = store
+        self._lost_kinds = set()
+        self._answered_kinds = set()
+        self._listed_kinds = set()
+        self._last_failure_s = self._failing_since_s = context.clock()
+        bounds = context.settings.bounds
+        least_s = min(bounds.drain_s, bounds.configuration_s)
+        # A connection may go silent without a reset. The bounds apply again after the
+        # stable window, so the watch has to end within the window plus the shorter
+        # bound.
+        wait_s = bounds.stable_window_s + least_s - WATCH_MARGIN_S
+        self._watch_s = min(WATCH_MAX_S, max(WATCH_MIN_S, wait_s))
+
+    async def start(self):
+        """Start to follow the store, until the context is closed."""
+        self._lost_kinds = set(FOLLOWED_KINDS)
+        spawn = self._context.spawn
+        spawn(self._follow(CONFIGURATION_KIND, self._on_configurations))
+        spawn(self._follow(ENDPOINTS_KIND, self._on_endpoints))
+        spawn(self._drop_missing())
+
+    async def _follow(self, kind, apply):
+        """List the objects of a kind, then watch it; list again after each gap."""
+        revision = None
+        pause_s, own_pause_s = MIN_PAUSE_S, WATCHED_BY_PEERS_POLL_S
+        while True:
+            reads_directly = False
+            if self._is_watched_by_peers(kind):
+                revision = None
+                # Peers with full or broken links would leave this host with outdated
+                # routes and endpoints, while the store could answer it at once.
+                reads_directly = self._context.staleness.is_overdue(STATE_OF_KIND[kind])
+                if reads_directly:
+                    await asyncio.sleep(own_pause_s)
+                else:
+                    await self._context.wait_for_tick(WATCHED_BY_PEERS_POLL_S)
+                    own_pause_s = WATCHED_BY_PEERS_POLL_S
+                    self._answered_kinds.discard(kind)
+                    continue
+            if revision is None:
+                result = await self._store.list(kind)
+            else:
+                result = await self._store.watch(kind, revision, self._watch_s)
+            if isinstance(result, Failure):
+                error = result.failure()
+                revision = None
+                if error.code == "history_gone":
+                    self._context.log("info", "history_gone", kind=kind)
+                    continue
+                self._on_failure(kind, error)
+                # Random, so that hosts that lost the store don't return to it
+                # simultaneously.
+                await asyncio.sleep(pause_s * (0.5 + self._context.draw_uniform()))
+                pause_s = min(MAX_PAUSE_S, 2.0 * pause_s)
+                continue
+            pause_s = MIN_PAUSE_S
+            if kind in self._lost_kinds and self._context.endpoints.states:
+                # The peers' updates tell whether the store was down for all hosts.
+                await asyncio.sleep(PEER_UPDATE_DELAY_S)
+            self._on_answered(kind, reads_directly)
+            found = result.unwrap()
+            apply(found, revision is None)
+            revision = found.revision
+            if kind not in self._listed_kinds:
+                self._listed_kinds.add(kind)
+                await asyncio.sleep(PEERS_KNOWN_AFTER_S)
+            if reads_directly:
+                # Reading an object again doesn't help if its content can't be decoded.
+                own_pause_s = min(MAX_OWN_READ_PAUSE_S, 2.0 * own_pause_s)
+
+    def _is_watched_by_peers(self, kind):
+        """Return whether peers watch a kind that this host has already received.
+
+        At the first start of all hosts the list of endpoints is empty for seconds;
+        peers may watch it for this host then too.
+        """
+        context = self._context
+        has_state = context.configuration is not None and context.endpoints.states
+        if kind not in self._listed_kinds and not has_state:
+            return False
+        if context.watches_store():
+            return False
+        context.sees_store = False
+        return True
+
+    def _on_configurations(self, found, is_listing):
+        """Apply the configuration from a list or from changes of the store."""
+        if is_listing:
+            stored = found.objects
+        else:
+            stored = [change.object for change in found.changes]
+        for item in stored:
+            if item.name == CONFIGURATION_NAME:
+                apply_stored_configuration(self._context, item, "store")
+
+    def _on_endpoints(self, found, is_listing):
+        """Apply the endpoints from a list or from changes of the store."""
+        if is_listing:
+            _apply_endpoint_list(self._context, found)
+            return
+        context = self._context
+        for change in found.changes:
+            stored = change.object
+            if change.is_deleted:
+                context.endpoints.on_deleted(
+                    context.clock(), stored.name, found.revision
+                )
+                context.log("info", "endpoint_deleted", endpoint=stored.name)
+                continue
+            record = _decode_entry(context, stored)
+            if record is not None:
+                if context.endpoints.on_record(record, found.revision):
+                    _log_endpoint(context, record)
+        context.endpoints.revision = max(context.endpoints.revision, found.revision)
+
+    def _on_failure(self, kind, error):
+        """Record a failed call to the store; log the first one of an outage."""
+        now_s = self._context.clock()
+        if now_s - self._last_failure_s > RECENT_FAILURE_S:
+            self._failing_since_s = now_s
+        self._last_failure_s = now_s
+        self._answered_kinds.discard(kind)
+        self._context.sees_store = False
+        if kind in self._lost_kinds:
+            return
+        self._lost_kinds.add(kind)
+        self._context.log(
+            "warning",
+            "dependency_lost",
+            dependency="store",
+            kind=kind,
+            step=error.step,
+            code=error.code,
+            detail=error.detail,
+        )
+
+    def _on_answered(self, kind, reads_directly):
+        """Record an answered call; start a grace period after an outage."""
+        context = self._context
+        if kind in self._lost_kinds:
+            self._lost_kinds.discard(kind)
+            failed_recently = context.clock() - self._last_failure_s <= RECENT_FAILURE_S
+            # A lagging host that reads the store itself has peers that saw the store
+            # all the time. Endpoints missing in its list have left and must not get
+            # work for another grace period.
+            starts_grace = (
+                failed_recently and not reads_directly and not self._failed_alone()
+            )
+            if kind == ENDPOINTS_KIND and starts_grace:
+                context.endpoints.on_store_returned(context.clock())
+            context.log("info", "dependency_regained", dependency="store", kind=kind)
+        self._answered_kinds.add(kind)
+        context.sees_store = self._answered_kinds == FOLLOWED_KINDS
+
+    def _failed_alone(self):
+        """Return whether the store answered peers while this host's calls failed.
+
+        A full link can fail a host's calls. Without this check the host would keep
+        endpoints that have left meanwhile, as if the store had been down for all and
+        their entries could return.
+        """
+        context = self._context
+        return context.hosts.peer_saw_store_since(
+            context.clock(), self._failing_since_s
+        )
+
+    async def _drop_missing(self):
+        """Drop endpoints whose entries didn't return, and other expired state."""
+        context = self._context
+        while True:
+            await context.wait_for_tick(DROP_INTERVAL_S)
+            if (
+                context.endpoints.is_in_grace_period(context.clock())
+                and self._failed_alone()
+            ):
+                context.endpoints.end_grace_period()
+            for endpoint_id in context.endpoints.drop_missing(context.clock()):
+                context.log("info", "endpoint_dropped", endpoint=endpoint_id)
+            context.connection_pool.close_expired()
+            for state in context.endpoints.states.values():
+                state.prefixes.drop_expired(context.clock())
+                state.expire_ordered_stage(context.clock())
+
+
+def apply_stored_configuration(context, stored, source):
+    """Put a stored configuration in force; one that can't be decoded changes nothing.
+
+    Parameters
+    ----------
+    context : Context
+        Receives the configuration.
+    stored : StoredObject
+        The configuration as stored.
+    source : str
+        Name of the peer that sent it, or ``store``.
+    """
+    try:
+        configuration = decode_configuration(stored.content)
+    except DecodeError as error:
+        context.log("error", "configuration_unreadable", error=error, source=source)
+        return
+    context.apply_configuration(configuration, stored, source)
+
+
+def _apply_endpoint_list(context, listing):
+    """Replace all known endpoints by a complete list of the store."""
+    records = []
+    for stored in listing.objects:
+        record = _decode_entry(context, stored)
+        if record is not None:
+            records.append(record)
+    changed = context.endpoints.on_full_list(context.clock(), records, listing.revision)
+    for record in records:
+        if record.endpoint_id in changed:
+            changed.remove(record.endpoint_id)
+            _log_endpoint(context, record)
+    for endpoint_id in changed:
+        context.log("info", "endpoint_missing", endpoint=endpoint_id, source="store")
+
+
+def _decode_entry(context, stored):
+    """Return the record of an endpoint's entry, or None when it can't be decoded."""
+    try:
+        return decode_endpoint(stored)
+    except DecodeError as error:
+        context.log("warning", "endpoint_entry_unreadable", error=error)
+        return None
+
+
+def _log_endpoint(context, record):
+    """Log a new or changed endpoint."""
+    context.log(
+        "info",
+        "endpoint_changed",
+        endpoint=record.endpoint_id,
+        started_ms=record.started_ms,
+        service=record.service,
+        address=record.address,
+        zone=record.zone,
+        stage=record.stage,
+        leaving=record.is_draining,
+        beat=record.heartbeat_count,
+        source="store",
+    )
--- a/libs/entry/tests/worlds.py
+++ b/libs/entry/tests/host_harness.py
@@ -1,4 +1,4 @@
-"""Entry hosts before stand-ins of the store and of endpoints, for tests."""
+"""Entry hosts with stand-ins of the store and of endpoints, for tests."""
 
 import asyncio
 import contextlib
@@ -15,45 +15,47 @@
 from gypsumusher_standins.object_store import ObjectStore
 
 __all__ = [
-    "ANY",
+    "IDEMPOTENT_ROUTE",
     "BOUNDS",
-    "ONCE",
-    "RESUMABLE",
-    "STREAM",
-    "TwoHosts",
-    "World",
+    "AT_MOST_ONCE_ROUTE",
+    "RESUMABLE_ROUTE",
+    "STREAM_ROUTE",
+    "HostWithoutStore",
+    "HostHarness",
     "ask",
     "configuration",
     "entry",
     "not_run",
-    "one_seeing_one_not",
+    "host_without_store",
     "run",
     "settings",
     "until",
 ]
 
 BOUNDS = Bounds(2.0, 2.0, 8.0, 3.0, 3.0, 0.3, 0.2, 54.0, 10.0, 5.0, False)
-ANY = {"kind": "idempotent", "attempts": 2}
-ONCE = {"kind": "non_idempotent", "attempts": 1}
-STREAM = {"kind": "stream", "attempts": 1, "sticky": True}
-RESUMABLE = {"kind": "stream", "attempts": 2, "sticky": True, "resumable": True}
+IDEMPOTENT_ROUTE = {"kind": "idempotent", "attempts": 2}
+AT_MOST_ONCE_ROUTE = {"kind": "non_idempotent", "attempts": 1}
+STREAM_ROUTE = {"kind": "stream", "attempts": 1, "sticky": True}
+RESUMABLE_ROUTE = {"kind": "stream", "attempts": 2, "sticky": True, "resumable": True}
 
 
 def run(coroutine):
+    """Run a test's coroutine with a time limit of 30 s."""
     return asyncio.run(asyncio.wait_for(coroutine, 30))
 
 
 def settings(store_address, ip="127.0.0.1", name="host-1", seeds=(), port=0):
+    """Return settings of a host with all ports assigned at start."""
     return HostSettings(
         name, ip, "zone-a", "region", f"{ip}:0", f"{ip}:0", f"{ip}:0", f"{ip}:0", port,
         seeds, store_address, False, 1.0, 1000.0, BOUNDS,
     )  # fmt: skip
 
 
-class World:
-    """A store, scripted endpoints, and one host before them."""
+class HostHarness:
+    """A store, scripted endpoints, and one host that serves from them."""
 
-    def __init__(self, *scripts, routes=(ANY,)):
+    def __init__(self, *scripts, routes=(IDEMPOTENT_ROUTE,)):
         self.endpoints = [ScriptedEndpoint(script) for script in scripts]
         self.routes = routes
         self.log_lines = []
@@ -89,6 +91,7 @@
         return await ask(self.session, path, method, request_id, **headers)
 
     def arrivals(self):
+        """Return how many requests the endpoints have received."""
         return sum(len(endpoint.requests) for endpoint in self.endpoints)
 
 
@@ -105,29 +108,29 @@
 
 
 async def not_run(number, head, body, writer):
-    """Reject a request, as an endpoint without room does."""
+    """Reject a request, as an endpoint without free capacity does."""
     extra = ("X-Gypsumusher-Not-Run: 1",)
     status = "503 Service Unavailable"
     writer.write(answer_to(request_id_of(head), b"", status, extra))
 
 
-class TwoHosts(NamedTuple):
-    """A store, a host that reads it, and one that hears of it from the first.
+class HostWithoutStore(NamedTuple):
+    """A store, a host that reads it, and a second host that relies on the first.
 
     Attributes
     ----------
     store : ObjectStore
-        What the first host reads.
+        Store of the first host.
     other_store : ObjectStore
-        What the second host reads: it refuses all calls until its fault is taken back.
+        Store of the second host: it refuses all calls until its fault is removed.
     link : Proxy
-        Between the hosts.
+        Connection between the hosts.
     context : Context
-        That of the second host.
+        Context of the second host.
     session : aiohttp.ClientSession
         A caller of the second host.
     lines : list of (str, dict)
-        What the second host logged.
+        Log lines of the second host.
     """
 
     store: ObjectStore
@@ -139,41 +142,43 @@
 
 
 @contextlib.asynccontextmanager
-async def one_seeing_one_not(*endpoint_addresses):
-    """Give two hosts, of which only one reads the store, before some endpoints."""
-    store, blind = ObjectStore(), ObjectStore()
-    blind.fault = "refuse"
-    address, nowhere = await store.start(), await blind.start()
-    store.put("config", "main", configuration(1, ANY))
+async def host_without_store(*endpoint_addresses):
+    """Start two hosts with some endpoints; only the first can read the store."""
+    store, refusing_store = ObjectStore(), ObjectStore()
+    refusing_store.fault = "refuse"
+    address, refusing_address = await store.start(), await refusing_store.start()
+    store.put("config", "main", configuration(1, IDEMPOTENT_ROUTE))
     for number, endpoint_address in enumerate(endpoint_addresses or ["127.0.0.1:9"]):
         store.put("servers", f"e-{number}", entry(endpoint_address))
     port = free_ports("127.0.0.2", 1)[0]
     lines = []
-    seeing = EntryHost(
+    peer = EntryHost(
         settings(address, "127.0.0.2", "host-2", (), port), lambda *a, **f: None
     )
-    listens = await seeing.start()
+    listens = await peer.start()
     link = Proxy(listens["peers"])
-    seeing.context.settings = seeing.context.settings._replace(
+    peer.context.settings = peer.context.settings._replace(
         peers_address=await link.start()
     )
     other = EntryHost(
-        settings(nowhere, "127.0.0.3", "host-3", ("127.0.0.2:0",), port),
+        settings(refusing_address, "127.0.0.3", "host-3", ("127.0.0.2:0",), port),
         lambda level, event, **fields: lines.append((event, fields)),
     )
     listens = await other.start()
     session = aiohttp.ClientSession(base_url=f"http://{listens['callers']}")
-    seeing.context.hosts.on_record(0.0, "host-3", "127.0.0.3")
+    peer.context.hosts.on_record(0.0, "host-3", "127.0.0.3")
     await until(lambda: other.context.configuration_version == 1)
     try:
-        yield TwoHosts(store, blind, link, other.context, session, lines)
+        yield HostWithoutStore(
+            store, refusing_store, link, other.context, session, lines
+        )
     finally:
         await session.close()
-        for part in (other, seeing, link, store, blind):
+        for part in (other, peer, link, store, refusing_store):
             await part.close()
 
 
 async def until(condition):
-    """Wait for a condition; the test's own time limit ends a wait in vain."""
+    """Wait for a condition; the time limit of the test ends a wait that fails."""
     while not condition():
         await asyncio.sleep(0.005)
--- a/libs/http/gypsumusher_http/__init__.py
+++ b/libs/http/gypsumusher_http/__init__.py
@@ -1,20 +1,21 @@
-"""HTTP/1.1 over httptools: kept connections, whole calls, and listeners.
+"""HTTP/1.1 on top of httptools: connection pool, client and listener.
 
-aiohttp and sanic are slow to import, which each start of a host would pay for, and hide
-what some promises rest on: see `connections` and `listener`.
+aiohttp and sanic aren't used: their import slows down each start of a host, and they
+don't give the control over connections and framing that `connections` and `listener`
+need.
 """
 
 from gypsumusher_http.calls import CallLimits, HttpClient
-from gypsumusher_http.connections import Answer, ConnectionPool
+from gypsumusher_http.connections import ConnectionPool, Response
 from gypsumusher_http.errors import CallError
 from gypsumusher_http.listener import Listener, Reply
 
 __all__ = [
-    "Answer",
     "CallError",
     "CallLimits",
-    "HttpClient",
     "ConnectionPool",
+    "HttpClient",
     "Listener",
     "Reply",
+    "Response",
 ]
--- a/libs/policy/gypsumusher_policy/__init__.py
+++ b/libs/policy/gypsumusher_policy/__init__.py
@@ -1,18 +1,22 @@
-"""Decisions under load: admit, queue, refuse, place, shift."""
+"""Decision logic: admission, queueing, placement, retries and role changes.
 
-from gypsumusher_policy.cells import choose_cell, choose_entry
+The package does no input or output and reads no clock. Its functions take the present
+time and events, and return the actions to carry out.
+"""
+
+from gypsumusher_policy.cells import choose_cell, choose_entry_hosts
 from gypsumusher_policy.quarantine import Quarantine
+from gypsumusher_policy.role_planner import RoleChangePlanner
 from gypsumusher_policy.rollout import RolloutPlanner
 from gypsumusher_policy.scheduler import Scheduler
-from gypsumusher_policy.shifting import ShiftPlanner
 from gypsumusher_policy.types import (
     Action,
     ClassPolicy,
-    Convict,
+    Conviction,
     DeploymentPolicy,
     Endpoint,
-    LoadOrder,
     LoadReport,
+    ModelLoadOrder,
     Refuse,
     Request,
     RoleChange,
@@ -22,19 +26,19 @@
 __all__ = [
     "Action",
     "ClassPolicy",
-    "Convict",
+    "Conviction",
     "DeploymentPolicy",
     "Endpoint",
-    "LoadOrder",
     "LoadReport",
+    "ModelLoadOrder",
     "Quarantine",
     "Refuse",
     "Request",
     "RoleChange",
+    "RoleChangePlanner",
     "RolloutPlanner",
     "Scheduler",
-    "ShiftPlanner",
     "Start",
     "choose_cell",
-    "choose_entry",
+    "choose_entry_hosts",
 ]
--- a/libs/ports/gypsumusher_ports/__init__.py
+++ b/libs/ports/gypsumusher_ports/__init__.py
@@ -1,11 +1,11 @@
-"""Typed values that the adapter of a platform and the product exchange.
+"""Typed values that a platform adapter and the product exchange.
 
-The adapter decodes what the platform sends into these once; everything behind it knows
-only them. They hold no behaviour and decide nothing.
+The adapter decodes each message of the platform into one of these types; all other
+packages use only the types. The types carry data and no behaviour.
 """
 
-from gypsumusher_ports.answers import AnswerHead, PrefillAnswer, Refusal
-from gypsumusher_ports.calls import CallerRequest, Generation, PromptPart, Send
+from gypsumusher_ports.answers import PrefillResult, Refusal, ResponseHead
+from gypsumusher_ports.calls import CallerRequest, Generation, PromptPart, SendOptions
 from gypsumusher_ports.configuration import (
     ANY_TIMES,
     AT_MOST_ONCE,
@@ -32,7 +32,6 @@
     "ANY_TIMES",
     "AT_MOST_ONCE",
     "STREAM",
-    "AnswerHead",
     "Bounds",
     "CallerRequest",
     "Change",
@@ -49,11 +48,12 @@
     "Listing",
     "OrderOutcome",
     "PlatformError",
-    "PrefillAnswer",
+    "PrefillResult",
     "PromptPart",
     "Refusal",
+    "ResponseHead",
     "Route",
-    "Send",
+    "SendOptions",
     "Service",
     "ServiceShare",
     "StartError",
--- a/libs/process/gypsumusher_process/program.py
+++ b/libs/process/gypsumusher_process/program.py
@@ -1,64 +1,68 @@
-"""How a daemon's command starts, and what signals tell it."""
+"""Start of a daemon from its command line, and its signal handlers."""
 
 import asyncio
 import signal
 import sys
 
 from gypsumusher_ports import GypsumusherError
-from gypsumusher_process.loop import run
+from gypsumusher_process.event_loop import run_event_loop
 
-__all__ = ["handle_signals", "run_program"]
+__all__ = ["install_signal_handlers", "run_program"]
 
+# Exit status for invalid settings, and for a failure to start.
 EXIT_USAGE = 2
 EXIT_FAILED = 1
 
 
-def run_program(name, load, serve, checked=None):
-    """Load a program's settings and serve with them, or only check them.
+def run_program(name, load, serve, format_settings=None):
+    """Load the settings of a program, then run it or only report them as valid.
 
     Parameters
     ----------
     name : str
-        The program, for its errors on standard error.
+        Name of the program, for errors on standard error.
     load : callable
-        Returns the settings.
+        Function that loads and returns the settings.
     serve : coroutine function
-        ``await serve(settings)`` until the program is told to stop.
-    checked : callable or None
-        Returns the line to print of good settings; given, nothing is served.
+        ``serve(settings)`` runs until the program is told to stop.
+    format_settings : callable or None
+        With a function, the program isn't run; the line that the function returns for
+        the settings is printed instead.
 
     Returns
     -------
     int
-        0 after a planned stop, 2 for bad settings, 1 when the program can't start.
+        Exit status: 0 after a regular stop, 2 for invalid settings, 1 when the program
+        can't start.
     """
     try:
         settings = load()
     except GypsumusherError as error:
         print(f"{name}: {error}", file=sys.stderr)
         return EXIT_USAGE
-    if checked is not None:
-        print(checked(settings))
+    if format_settings is not None:
+        print(format_settings(settings))
         return 0
     try:
-        run(serve(settings))
+        run_event_loop(serve(settings))
     except GypsumusherError as error:
         print(f"{name}: {error}", file=sys.stderr)
         return EXIT_FAILED
     return 0
 
 
-def handle_signals(reload):
-    """Have SIGHUP reload settings; return the event that SIGTERM and SIGINT set.
+def install_signal_handlers(reload):
+    """Install handlers for SIGHUP, SIGTERM and SIGINT.
 
     Parameters
     ----------
     reload : callable
-        Takes the settings anew; called within the running loop.
+        Called on SIGHUP, within the event loop, to load the settings again.
 
     Returns
     -------
     asyncio.Event
+        Set by SIGTERM and SIGINT.
     """
     loop = asyncio.get_running_loop()
     stop = asyncio.Event()
--- /dev/null
+++ b/libs/routing/gypsumusher_routing/host_table.py
@@ -0,0 +1,267 @@
+"""Liveness of the entry hosts, from the status messages that they send.
+
+Callers must not be directed to a dead host: a connection to a host without power hangs
+for a second before the caller tries the next one.
+"""
+
+from typing import NamedTuple
+
+__all__ = ["HostStatus", "HostTable", "host_capacity"]
+
+# A host is not listed for callers after this many of its message periods without a
+# message, and not before the minimum time, so that lost datagrams don't exclude a live
+# host.
+SILENT_PERIODS = 2.6
+SILENT_AFTER_S = 1.5
+# Silence after which a host is forgotten. A host that hung or was cut off is back by
+# then; one that returns later writes its record again.
+FORGET_AFTER_S = 60.0
+
+
+class HostStatus(NamedTuple):
+    """Status that a host reports about itself.
+
+    Attributes
+    ----------
+    name : str
+        Name of the host.
+    started_ms : int
+        Unix time of its process's start, in milliseconds.
+    sequence : int
+        Number of the message; grows with each message of one process.
+    ip, zone, callers_address, peers_address : str
+        Location and addresses of the host.
+    is_ready : bool
+        Whether it accepts callers.
+    configuration_version : int
+        Version of the configuration in force.
+    endpoints_revision : int
+        Revision of the endpoints that it knows.
+    capacity : float
+        Capacity in discrete steps; see `host_capacity`.
+    sees_store : bool
+        Whether the store answers it.
+    store_reachable_s : float
+        Time for which none of its calls to the store has failed, in seconds.
+    period_s : float
+        Maximum time until its next message, in seconds.
+    hosts_recorded : int
+        Number of hosts that it knows from their records, including itself; 0 if it
+        has not read the records.
+    """
+
+    name: str
+    started_ms: int
+    sequence: int
+    ip: str
+    zone: str
+    callers_address: str
+    peers_address: str
+    is_ready: bool
+    configuration_version: int
+    endpoints_revision: int
+    capacity: float
+    sees_store: bool
+    store_reachable_s: float
+    period_s: float
+    hosts_recorded: int
+
+
+def host_capacity(cores: float, link_mbps: float) -> float:
+    """Return a host's capacity in discrete steps, so that similar hosts rank equally.
+
+    Parameters
+    ----------
+    cores : float
+        Cores that its process may use.
+    link_mbps : float
+        Bandwidth of its link, in Mbit/s. A request carries tens of kB in each of two
+        transfers, so about ten requests a second take 5 Mbit/s.
+    """
+    return min(2.0, float(int(cores * 2)) / 2.0, float(int(link_mbps / 20.0)))
+
+
+class HostTable:
+    """Other hosts by name.
+
+    Parameters
+    ----------
+    own_name : str
+        Name of this host, which is not in the table.
+    """
+
+    def __init__(self, own_name: str):
+        self._own_name = own_name
+        self._statuses = {}
+        self._last_seen_s = {}
+        self._ips = {}
+        # When the revision of endpoints that a host reports last increased.
+        self._revision_increased_s = {}
+        self._has_read_records = False
+
+    def on_records_read(self) -> None:
+        """Record that all host records have been read."""
+        self._has_read_records = True
+
+    def recorded_count(self) -> int:
+        """Return how many hosts are known by their records, including this one.
+
+        Returns
+        -------
+        int
+            0 if the records have not been read.
+        """
+        return len(self._ips) + 1 if self._has_read_records else 0
+
+    def existing_count(self) -> int:
+        """Return how many hosts may exist, alive or not, including this one.
+
+        Used to divide what all hosts share without asking each other. The number does
+        not shrink when this host hears from fewer others.
+
+        Returns
+        -------
+        int
+            0 if neither this host nor any that it has heard from has read the records.
+        """
+        reported = max(
+            (status.hosts_recorded for status in self._statuses.values()), default=0
+        )
+        known = max(reported, self.recorded_count())
+        return max(known, len(self._ips) + 1) if known else 0
+
+    def on_record(self, now_s: float, name: str, ip: str) -> None:
+        """Record that a host exists, from its record in the store."""
+        if name == self._own_name:
+            return
+        self._ips[name] = ip
+        # The silence of a host that never sends a message counts from its record.
+        self._last_seen_s.setdefault(name, now_s)
+
+    def on_status(self, now_s: float, status: HostStatus) -> bool:
+        """Store a host's status; return whether it is newer than the stored one."""
+        if status.name == self._own_name:
+            return False
+        known = self._statuses.get(status.name)
+        if known is not None:
+            is_older = (status.started_ms, status.sequence) <= (
+                known.started_ms,
+                known.sequence,
+            )
+            # If a host's clock was set back before its restart, its messages look older
+            # than those of its previous process. They are accepted once that process
+            # has been silent for a while.
+            if is_older and now_s - self._last_seen_s[status.name] < SILENT_AFTER_S:
+                return False
+        if known is not None and status.endpoints_revision > known.endpoints_revision:
+            self._revision_increased_s[status.name] = now_s
+        self._statuses[status.name] = status
+        self._last_seen_s[status.name] = now_s
+        self._ips[status.name] = status.ip
+        return True
+
+    def drop_silent(self, now_s: float, listening_since_s: float) -> list[str]:
+        """Remove hosts that have been silent for long; return their names.
+
+        Otherwise hosts that were replaced stay known for ever. Each costs a message a
+        second from every other host, and the list of hosts for callers grows with
+        unreachable addresses.
+
+        Parameters
+        ----------
+        now_s : float
+            Current time, in seconds.
+        listening_since_s : float
+            Time from which other hosts send to this one, in seconds; silence before
+            it does not count.
+        """
+        dropped = []
+        for name, seen_s in list(self._last_seen_s.items()):
+            if now_s - max(seen_s, listening_since_s) > FORGET_AFTER_S:
+                self._drop(name)
+                dropped.append(name)
+        return dropped
+
+    def drop_unrecorded(self, now_s: float, recorded) -> list[str]:
+        """Remove silent hosts without a record; return their names.
+
+        A live host without one has just written its record, or is about to write it
+        again.
+
+        Parameters
+        ----------
+        now_s : float
+            Current time, in seconds.
+        recorded : collection of str
+            Names of the hosts that have a record.
+        """
+        live = {status.name for status in self.live(now_s)}
+        dropped = [name for name in self._ips if name not in live | set(recorded)]
+        for name in dropped:
+            self._drop(name)
+        return dropped
+
+    def _drop(self, name):
+        """Remove a host from all tables."""
+        for table in (
+            self._last_seen_s,
+            self._statuses,
+            self._ips,
+            self._revision_increased_s,
+        ):
+            table.pop(name, None)
+
+    def addresses(self) -> dict[str, str]:
+        """Return the IP of each host that may exist, by name."""
+        return dict(self._ips)
+
+    def live(self, now_s: float) -> list[HostStatus]:
+        """Return the statuses of hosts that have sent a message recently."""
+        found = []
+        for name, status in self._statuses.items():
+            silent_after_s = max(SILENT_AFTER_S, SILENT_PERIODS * status.period_s)
+            if now_s - self._last_seen_s[name] <= silent_after_s:
+                found.append(status)
+        return found
+
+    def peer_saw_store_since(self, now_s: float, since_s: float) -> bool:
+        """Return whether the store has answered another host ever since a time.
+
+        A host whose call hangs reports the store as reachable until the call fails. So
+        the revision that the host reports must have increased since then as well.
+        """
+        for status in self.live(now_s):
+            if not status.sees_store:
+                continue
+            if self._last_seen_s[status.name] - status.store_reachable_s > since_s:
+                continue
+            if self._revision_increased_s.get(status.name, float("-inf")) > since_s:
+                return True
+        return False
+
+    def newest_versions(self, now_s: float) -> tuple[int, int]:
+        """Return the newest versions that any live host knows.
+
+        Returns
+        -------
+        tuple of int
+            Version of the configuration, and revision of the endpoints.
+        """
+        versions, revisions = [0], [0]
+        for status in self.live(now_s):
+            versions.append(status.configuration_version)
+            revisions.append(status.endpoints_revision)
+        return max(versions), max(revisions)
+
+    def hosts_ahead(
+        self, now_s: float, version: int, revision: int
+    ) -> list[HostStatus]:
+        """Return the live hosts with a newer configuration or newer endpoints."""
+        found = []
+        for status in self.live(now_s):
+            if (
+                status.configuration_version > version
+                or status.endpoints_revision > revision
+            ):
+                found.append(status)
+        return found
