--- a/libs/policy/tests/test_quarantine.py
+++ b/libs/policy/tests/test_quarantine.py
@@ -14,7 +14,7 @@
     for fingerprint in past_prompt:
         quarantine.on_first_token(fingerprint, endpoint)
     convictions = quarantine.on_crash(now_s, endpoint)
-    return [add_conviction.fingerprint for add_conviction in convictions]
+    return [conviction.fingerprint for conviction in convictions]
 
 
 def test_suspect_past_its_prefill_is_not_convicted_for_another_one():
--- a/tests/test_at_most_once.py
+++ b/tests/test_at_most_once.py
@@ -1,4 +1,4 @@
-"""A non-idempotent request runs at most once, whatever fails, and "not run" is true."""
+"""Non-idempotent requests run at most once, and "not run" is reported truthfully."""
 
 import asyncio
 
@@ -10,12 +10,12 @@
 
 pytestmark = pytest.mark.processes
 
-DEMAND = "final demand for flat 12"
+PROMPT = "final demand for flat 12"
 LONG_TOKENS = 150
 
 
-async def wait_for_run(engines, prompt=DEMAND):
-    """Wait until some engine runs a prompt; return that engine."""
+async def wait_for_run(engines, prompt=PROMPT):
+    """Wait until an engine has received the prompt, and return that engine."""
 
     async def running():
         for engine in engines:
@@ -26,8 +26,8 @@
     return await wait_until(running, "an engine to run the request")
 
 
-async def wait_for_held_call(platform, kind="journals"):
-    """Wait until the platform holds back a write of a kind."""
+async def wait_for_held_write(platform, kind="journals"):
+    """Wait until the platform is holding a write to a kind of object."""
 
     async def held():
         return (await platform.counters())["held"].get(kind, 0) > 0
@@ -35,8 +35,8 @@
     await wait_until(held, f"a held write of {kind}")
 
 
-async def outcome_of(task):
-    """Return a call's answer, or None when its connection broke off."""
+async def response_or_none(task):
+    """Return the response of a call, or None if its connection was closed early."""
     try:
         return await task
     except aiohttp.ClientError:
@@ -47,25 +47,24 @@
     return {"Idempotency-Key": key}
 
 
-def assert_unknown(answer):
-    """Check a refusal that leaves open whether the request ran."""
-    assert answer.status == 409, answer
-    assert answer.error["code"] == "key_unknown_outcome"
-    assert answer.error["run"] == "unknown"
-    assert answer.headers["X-Should-Retry"] == "false"
+def assert_outcome_unknown(response):
+    """Check a refusal that reports an unknown outcome and forbids a retry."""
+    assert response.status == 409, response
+    assert response.error["code"] == "key_unknown_outcome"
+    assert response.error["run"] == "unknown"
+    assert response.headers["X-Should-Retry"] == "false"
 
 
-def assert_not_run(answer):
-    """Check a refusal that promises that nothing ran."""
-    assert answer.error["run"] == "no", answer
+def assert_not_run(response):
+    """Check a refusal that reports that the request did not run."""
+    assert response.error["run"] == "no", response
 
 
-def test_home_killed_after_the_send():
-    """A tenant would get two final demands.
+def test_owner_killed_after_the_send_leaves_outcome_unknown():
+    """Guards against running a keyed request again on another host.
 
-    The engine works on the demand when the entry host dies; the caller sends it
-    again with the same key through another host.
-    Cause: the second host can't know that the first one had sent it.
+    The entry host is killed while an engine runs the request, and the caller repeats
+    the key through a second host. That host cannot know that the request was sent.
     """
 
     async def run():
@@ -75,26 +74,27 @@
                 await engine.control(slow_factor=20)
             key = await hosts[0].mint_key()
             call = asyncio.create_task(
-                hosts[0].complete(DEMAND, LONG_TOKENS, keyed(key))
+                hosts[0].complete(PROMPT, LONG_TOKENS, keyed(key))
             )
             await wait_for_run(engines)
             hosts[0].kill()
-            assert await outcome_of(call) is None
+            assert await response_or_none(call) is None
             for _ in range(2):
-                answer = await hosts[1].complete(DEMAND, LONG_TOKENS, keyed(key))
-                assert_unknown(answer)
+                response = await hosts[1].complete(PROMPT, LONG_TOKENS, keyed(key))
+                assert_outcome_unknown(response)
             assert await hosts[1].key_outcome(key) == "unknown"
-            assert await fleet.count_runs(DEMAND, engines) == 1
+            assert await fleet.count_runs(PROMPT, engines) == 1
 
     asyncio.run(run())
 
 
-def test_home_killed_before_its_journal_write():
-    """A tenant would get no demand, though the caller is told it may have gone out.
+def test_owner_killed_before_its_journal_write_ran_nothing():
+    """Guards against a wrong outcome when the owner dies before its journal write.
 
-    The entry host dies with its journal write still on the way; a survivor seals
-    the journal, and the write arrives afterwards.
-    Cause: a late write that still takes effect would make "not run" a lie.
+    The entry host is killed while its journal write is in flight. A surviving host
+    seals the journal, and the write arrives afterwards. A delayed write that still
+    took effect would make "not run" false, and an unknown outcome would keep the
+    caller from sending the request again.
     """
 
     async def run():
@@ -102,32 +102,32 @@
             hosts, engines = await fleet.start_system(hosts=2, engines=1)
             key = await hosts[0].mint_key()
             await fleet.platform.control(hang_clients=["h1"])
-            call = asyncio.create_task(hosts[0].complete(DEMAND, 8, keyed(key)))
-            await wait_for_held_call(fleet.platform)
+            call = asyncio.create_task(hosts[0].complete(PROMPT, 8, keyed(key)))
+            await wait_for_held_write(fleet.platform)
             hosts[0].kill()
-            assert await outcome_of(call) is None
-            answer = await hosts[1].complete(DEMAND, 8, keyed(key))
-            assert answer.error["code"] == "key_not_run"
-            assert_not_run(answer)
+            assert await response_or_none(call) is None
+            response = await hosts[1].complete(PROMPT, 8, keyed(key))
+            assert response.error["code"] == "key_not_run"
+            assert_not_run(response)
             await fleet.platform.control(hang_clients=[])
             assert await hosts[1].key_outcome(key) == "not_run"
-            again = await hosts[1].complete(DEMAND, 8, keyed(key))
+            again = await hosts[1].complete(PROMPT, 8, keyed(key))
             assert_not_run(again)
-            assert await fleet.count_runs(DEMAND, engines) == 0
+            assert await fleet.count_runs(PROMPT, engines) == 0
             fresh = await hosts[1].mint_key()
-            answer = await hosts[1].complete(DEMAND, 8, keyed(fresh))
-            assert answer.text == expected_text(DEMAND, 8)
-            assert await fleet.count_runs(DEMAND, engines) == 1
+            response = await hosts[1].complete(PROMPT, 8, keyed(fresh))
+            assert response.text == expected_text(PROMPT, 8)
+            assert await fleet.count_runs(PROMPT, engines) == 1
 
     asyncio.run(run())
 
 
-def test_home_paused_before_its_journal_write_sealed_and_resumed():
-    """Two crews would come to one wall.
+def test_owner_paused_before_its_journal_write_sealed_and_resumed():
+    """Guards against running a request twice under two keys.
 
-    The entry host is paused with its journal write on the way. The caller is told
-    "not run" by another host and books anew; then the paused host wakes.
-    Cause: a process that was paused doesn't know that it was taken for dead.
+    The entry host is paused while its journal write is in flight. Another host
+    reports "not run", so the caller may repeat the request under a new key; then the
+    paused host resumes, unaware that it was declared failed.
     """
 
     async def run():
@@ -135,35 +135,35 @@
             hosts, engines = await fleet.start_system(hosts=2, engines=1)
             key = await hosts[0].mint_key()
             await fleet.platform.control(hang_clients=["h1"])
-            call = asyncio.create_task(hosts[0].complete(DEMAND, 8, keyed(key)))
-            await wait_for_held_call(fleet.platform)
+            call = asyncio.create_task(hosts[0].complete(PROMPT, 8, keyed(key)))
+            await wait_for_held_write(fleet.platform)
             hosts[0].pause()
-            answer = await hosts[1].complete(DEMAND, 8, keyed(key))
-            assert answer.error["code"] == "key_not_run"
-            assert_not_run(answer)
+            response = await hosts[1].complete(PROMPT, 8, keyed(key))
+            assert response.error["code"] == "key_not_run"
+            assert_not_run(response)
             hosts[0].resume()
             await fleet.platform.control(hang_clients=[])
             late = await call
             assert late.status != 200
-            assert await fleet.count_runs(DEMAND, engines) == 0
+            assert await fleet.count_runs(PROMPT, engines) == 0
 
             async def serves_again():
                 fresh = await hosts[0].mint_key()
-                answer = await hosts[0].complete(DEMAND, 8, keyed(fresh))
-                return answer.status == 200
+                response = await hosts[0].complete(PROMPT, 8, keyed(fresh))
+                return response.status == 200
 
-            await wait_until(serves_again, "the host to serve under a new journal")
-            assert await fleet.count_runs(DEMAND, engines) == 1
+            await wait_until(serves_again, "the host to serve with a new journal")
+            assert await fleet.count_runs(PROMPT, engines) == 1
 
     asyncio.run(run())
 
 
-def test_home_paused_after_its_journal_write_sealed_and_resumed():
-    """The caller would be told "not run" of a booking that then runs.
+def test_owner_paused_after_its_journal_write_sealed_and_resumed():
+    """Guards against reporting "not run" for a request that runs afterwards.
 
-    The journal write took effect, its answer is on the way, and the entry host is
-    paused. Another host seals the journal; then the first one wakes and sends.
-    Cause: the licence to send was given before the seal.
+    The entry host is paused after its journal write took effect but before it got
+    the response. Another host seals the journal; then the first host resumes and may
+    send the request, because its write preceded the seal.
     """
 
     async def run():
@@ -171,7 +171,7 @@
             hosts, engines = await fleet.start_system(hosts=2, engines=1)
             key = await hosts[0].mint_key()
             await fleet.platform.control(answer_delay_s=0.3, delay_kind="journals")
-            call = asyncio.create_task(hosts[0].complete(DEMAND, 8, keyed(key)))
+            call = asyncio.create_task(hosts[0].complete(PROMPT, 8, keyed(key)))
 
             async def is_journaled():
                 journals = await fleet.platform.list("journals")
@@ -180,30 +180,30 @@
             await wait_until(is_journaled, "the journal write")
             hosts[0].pause()
             await fleet.platform.control(answer_delay_s=0)
-            assert_unknown(await hosts[1].complete(DEMAND, 8, keyed(key)))
+            assert_outcome_unknown(await hosts[1].complete(PROMPT, 8, keyed(key)))
             hosts[0].resume()
             await call
-            # The home is back: it knows whether it was licensed before the seal.
-            again = await hosts[1].complete(DEMAND, 8, keyed(key))
-            runs = await fleet.count_runs(DEMAND, engines)
+            # The resumed owner knows whether it was allowed to send before the seal.
+            again = await hosts[1].complete(PROMPT, 8, keyed(key))
+            runs = await fleet.count_runs(PROMPT, engines)
             if again.error.get("code") == "key_not_run":
                 assert_not_run(again)
                 assert runs == 0
             elif again.status == 200:
-                assert again.text == expected_text(DEMAND, 8)
+                assert again.text == expected_text(PROMPT, 8)
                 assert runs == 1
             else:
-                assert_unknown(again)
+                assert_outcome_unknown(again)
                 assert runs <= 1
 
     asyncio.run(run())
 
 
-def test_lost_answer_to_the_journal_write():
-    """A confirmation would be refused, or its journal entry doubled.
+def test_lost_response_to_the_journal_write():
+    """Guards against a refused request or a duplicate journal entry.
 
-    The journal write takes effect and its answer is lost, twice.
-    Cause: the home can't tell a write that failed from one that took effect.
+    The journal write takes effect but its response is lost, twice. The owner cannot
+    tell a failed write from one that took effect.
     """
 
     async def run():
@@ -211,23 +211,23 @@
             hosts, engines = await fleet.start_system(hosts=1, engines=1)
             key = await hosts[0].mint_key()
             await fleet.platform.control(lose_answers=2, lose_kind="journals")
-            answer = await hosts[0].complete(DEMAND, 8, keyed(key))
-            assert answer.text == expected_text(DEMAND, 8)
+            response = await hosts[0].complete(PROMPT, 8, keyed(key))
+            assert response.text == expected_text(PROMPT, 8)
             second = await hosts[0].mint_key()
-            answer = await hosts[0].complete("another", 8, keyed(second))
-            assert answer.text == expected_text("another", 8)
-            assert await fleet.count_runs(DEMAND, engines) == 1
+            response = await hosts[0].complete("another", 8, keyed(second))
+            assert response.text == expected_text("another", 8)
+            assert await fleet.count_runs(PROMPT, engines) == 1
             assert (await fleet.platform.counters())["settings"]["lose_answers"] == 0
 
     asyncio.run(run())
 
 
 def test_platform_down_refuses_and_nothing_ran():
-    """A caller would wait for ever, or the demand would run without a record.
+    """Guards against a call that hangs or a keyed request that runs unjournaled.
 
-    The platform is down when a keyed request comes, with a minted key and with a
-    key of the caller's own.
-    Cause: without a journal write no survivor could tell what was sent.
+    The platform is down when keyed requests arrive, one with a minted key and one
+    with a key chosen by the caller. Without a journal entry, no surviving host could
+    tell whether the request was sent.
     """
 
     async def run():
@@ -236,39 +236,38 @@
             key = await hosts[0].mint_key()
             await fleet.platform.control(outage=True)
             for name in (key, "booking-123"):
-                answer = await hosts[0].complete(DEMAND, 8, keyed(name))
-                assert answer.error["code"] == "journal_unavailable"
-                # Only the home of a minted key knows that no other host ran it.
-                assert answer.error["run"] == ("no" if name == key else "unknown")
-                assert int(answer.headers["Retry-After"]) >= 1
+                response = await hosts[0].complete(PROMPT, 8, keyed(name))
+                assert response.error["code"] == "journal_unavailable"
+                # Only the owner of a minted key knows that no other host ran it.
+                assert response.error["run"] == ("no" if name == key else "unknown")
+                assert int(response.headers["Retry-After"]) >= 1
             plain = await hosts[0].complete("a status question", 8)
             assert plain.text == expected_text("a status question", 8)
-            assert await fleet.count_runs(DEMAND, engines) == 0
+            assert await fleet.count_runs(PROMPT, engines) == 0
             await fleet.platform.control(outage=False)
 
-            # "Not run" was said of this key, so no late copy of it may run either.
-            again = await hosts[0].complete(DEMAND, 8, keyed(key))
+            # "Not run" was reported for this key, so a later repeat must not run.
+            again = await hosts[0].complete(PROMPT, 8, keyed(key))
             assert again.error["code"] == "key_not_run"
             assert_not_run(again)
 
             async def is_served():
                 fresh = await hosts[0].mint_key()
-                return (await hosts[0].complete(DEMAND, 8, keyed(fresh))).status == 200
+                return (await hosts[0].complete(PROMPT, 8, keyed(fresh))).status == 200
 
             await wait_until(is_served, "a new key to be served after the outage")
-            assert await fleet.count_runs(DEMAND, engines) == 1
+            assert await fleet.count_runs(PROMPT, engines) == 1
 
     asyncio.run(run())
 
 
 @pytest.mark.parametrize("refused_by", ["outage", "new_host", "stopping_host"])
-def test_no_host_calls_a_booking_not_run_that_ran_elsewhere(refused_by):
-    """A caller would be told "not run" of a booking that ran, and book anew.
+def test_request_that_ran_elsewhere_is_never_reported_not_run(refused_by):
+    """Guards against reporting "not run" for a request that ran on another host.
 
-    A booking ran through one host. Its caller, who got no answer, repeats the key
-    through a host that can't look it up: the platform is down, or the host has just
-    started without it, or is stopping.
-    Cause: a refusal that speaks of its own attempt alone.
+    The caller repeats the key through a host that cannot look it up because the
+    platform is down, the host has just started without it, or the host is stopping.
+    That host may not conclude from its own attempt that nothing ran.
     """
 
     async def run():
@@ -276,8 +275,8 @@
             hosts, engines = await fleet.start_system(hosts=2, engines=1)
             keys = [await hosts[0].mint_key(), "booking-123"]
             for key in keys:
-                answer = await hosts[0].complete(f"{DEMAND} {key}", 8, keyed(key))
-                assert answer.status == 200
+                response = await hosts[0].complete(f"{PROMPT} {key}", 8, keyed(key))
+                assert response.status == 200
             other = hosts[1]
             if refused_by == "stopping_host":
                 await engines[0].control(slow_factor=100)
@@ -296,22 +295,22 @@
                 other.kill()
                 other = await fleet.start_host("h3")
             for key in keys:
-                answer = await other.complete(f"{DEMAND} {key}", 8, keyed(key))
-                if answer.status != 200:
-                    assert answer.error["run"] == "unknown", (key, answer)
-                assert await fleet.count_runs(f"{DEMAND} {key}", engines) == 1
+                response = await other.complete(f"{PROMPT} {key}", 8, keyed(key))
+                if response.status != 200:
+                    assert response.error["run"] == "unknown", (key, response)
+                assert await fleet.count_runs(f"{PROMPT} {key}", engines) == 1
             if refused_by == "stopping_host":
                 long.cancel()
 
     asyncio.run(run())
 
 
-def test_unjournaled_work_runs_once_and_a_dead_home_leaves_it_unknown():
-    """A demand that did run would be called "not run".
+def test_unjournaled_request_runs_once_and_is_unknown_after_owner_death():
+    """Guards against reporting "not run" for an unjournaled request that did run.
 
-    The deployment runs keyed work while the platform is down. The home dies after
-    its answer, and the caller asks another host when the platform is back.
-    Cause: an absent journal entry proves nothing for such a key.
+    The deployment allows unjournaled keyed requests during a platform outage. The
+    owner is killed after its response, and the caller asks another host after the
+    outage. A missing journal entry proves nothing for such a key.
     """
 
     async def run():
@@ -325,32 +324,32 @@
             async def mint_unjournaled():
                 path = "/v1/keys?deployment=letter-models"
                 key = (await hosts[0].call("POST", path)).json["key"]
-                answer = await hosts[0].complete("a trial", 8, keyed(key))
-                if answer.status == 200:
+                response = await hosts[0].complete("a trial", 8, keyed(key))
+                if response.status == 200:
                     return (await hosts[0].call("POST", path)).json["key"]
-                # Until the host has seen the outage, its keys need the journal.
-                assert_not_run(answer)
+                # Until the host detects the outage, its keys need the journal.
+                assert_not_run(response)
                 return None
 
             key = await wait_until(mint_unjournaled, "a key that needs no journal")
             for _ in range(2):
-                answer = await hosts[0].complete(DEMAND, 8, keyed(key))
-                assert answer.text == expected_text(DEMAND, 8)
-            assert await fleet.count_runs(DEMAND, engines) == 1
+                response = await hosts[0].complete(PROMPT, 8, keyed(key))
+                assert response.text == expected_text(PROMPT, 8)
+            assert await fleet.count_runs(PROMPT, engines) == 1
             hosts[0].kill()
             await fleet.platform.control(outage=False)
-            assert_unknown(await hosts[1].complete(DEMAND, 8, keyed(key)))
-            assert await fleet.count_runs(DEMAND, engines) == 1
+            assert_outcome_unknown(await hosts[1].complete(PROMPT, 8, keyed(key)))
+            assert await fleet.count_runs(PROMPT, engines) == 1
 
     asyncio.run(run())
 
 
 @pytest.mark.parametrize("is_minted", [True, False])
 def test_one_key_through_two_hosts_at_once(is_minted):
-    """Two crews would be booked by one impatient click.
+    """Guards against running concurrent repeats of one key more than once.
 
-    The same key comes through two hosts at the same time, several times.
-    Cause: each host alone would take itself for the first.
+    The same key arrives through two hosts at the same time, several times. Each host
+    on its own would take its request for the first.
     """
 
     async def run():
@@ -358,54 +357,55 @@
             hosts, engines = await fleet.start_system(hosts=2, engines=2)
             key = await hosts[0].mint_key() if is_minted else "booking-123"
             calls = [
-                host.complete(DEMAND, 40, keyed(key)) for host in hosts for _ in "1234"
+                host.complete(PROMPT, 40, keyed(key)) for host in hosts for _ in "1234"
             ]
-            answers = await asyncio.gather(*calls)
-            served = [answer for answer in answers if answer.status == 200]
+            responses = await asyncio.gather(*calls)
+            served = [response for response in responses if response.status == 200]
             assert served
-            for answer in answers:
-                if answer.status == 200:
-                    assert answer.text == expected_text(DEMAND, 40)
+            for response in responses:
+                if response.status == 200:
+                    assert response.text == expected_text(PROMPT, 40)
                     continue
-                assert answer.error["code"] in {"in_progress", "key_unknown_outcome"}
-                assert answer.error["run"] == "unknown"
-            assert await fleet.count_runs(DEMAND, engines) == 1
-            again = await hosts[1].complete(DEMAND, 40, keyed(key))
-            assert again.text == expected_text(DEMAND, 40)
-            assert await fleet.count_runs(DEMAND, engines) == 1
+                assert response.error["code"] in {"in_progress", "key_unknown_outcome"}
+                assert response.error["run"] == "unknown"
+            assert await fleet.count_runs(PROMPT, engines) == 1
+            again = await hosts[1].complete(PROMPT, 40, keyed(key))
+            assert again.text == expected_text(PROMPT, 40)
+            assert await fleet.count_runs(PROMPT, engines) == 1
 
     asyncio.run(run())
 
 
 @pytest.mark.parametrize("is_minted", [True, False])
 def test_a_key_with_another_body_is_refused(is_minted):
-    """A caller would get the answer to somebody else's letter.
+    """Guards against returning the stored response of a different request.
 
-    A key is used again, by mistake, for another letter, on both hosts.
-    Cause: a kept answer found by its key alone.
+    A key is reused by mistake with another body, on both hosts. Looking up the stored
+    response by key alone would return the wrong one.
     """
 
     async def run():
         async with Fleet() as fleet:
             hosts, engines = await fleet.start_system(hosts=2, engines=1)
             key = await hosts[0].mint_key() if is_minted else "booking-123"
-            first = await hosts[0].complete(DEMAND, 8, keyed(key))
+            first = await hosts[0].complete(PROMPT, 8, keyed(key))
             assert first.status == 200
             for host in hosts:
-                answer = await host.complete("another letter", 8, keyed(key))
-                assert answer.status == 422, answer
-                assert answer.error["code"] == "key_reused"
-                assert_not_run(answer)
+                response = await host.complete("another letter", 8, keyed(key))
+                assert response.status == 422, response
+                assert response.error["code"] == "key_reused"
+                assert_not_run(response)
             assert await fleet.count_runs("another letter", engines) == 0
 
     asyncio.run(run())
 
 
-def test_a_callers_own_key_whose_home_died():
-    """A second crew would be booked after the first host's death.
+def test_caller_chosen_key_is_unknown_after_owner_death():
+    """Guards against running a request again after its owner's death.
 
-    A key that names no home was claimed by a host that died in the middle of it.
-    Cause: the next host must not take the claim over, for the work may have run.
+    A key chosen by the caller names no owner and was claimed by a host that was
+    killed during the request. Another host must not take over the claim, because the
+    request may have run.
     """
 
     async def run():
@@ -413,45 +413,45 @@
             hosts, engines = await fleet.start_system(hosts=2, engines=1)
             await engines[0].control(slow_factor=20)
             call = asyncio.create_task(
-                hosts[0].complete(DEMAND, LONG_TOKENS, keyed("booking-123"))
+                hosts[0].complete(PROMPT, LONG_TOKENS, keyed("booking-123"))
             )
             await wait_for_run(engines)
             hosts[0].kill()
-            assert await outcome_of(call) is None
-            assert_unknown(
-                await hosts[1].complete(DEMAND, LONG_TOKENS, keyed("booking-123"))
+            assert await response_or_none(call) is None
+            assert_outcome_unknown(
+                await hosts[1].complete(PROMPT, LONG_TOKENS, keyed("booking-123"))
             )
-            assert await fleet.count_runs(DEMAND, engines) == 1
+            assert await fleet.count_runs(PROMPT, engines) == 1
 
     asyncio.run(run())
 
 
-def test_a_callers_own_key_claim_with_a_lost_answer():
-    """A booking that nobody else made would be refused as somebody else's.
+def test_lost_response_to_the_claim_of_a_caller_chosen_key():
+    """Guards against refusing a request because of the host's own claim.
 
-    The claim's write takes effect and its answer is lost.
-    Cause: the repeated write finds the host's own claim standing.
+    The claim's write takes effect but its response is lost, so the repeated write
+    finds an existing claim.
     """
 
     async def run():
         async with Fleet() as fleet:
             hosts, engines = await fleet.start_system(hosts=2, engines=1)
             await fleet.platform.control(lose_answers=1, lose_kind="claims")
-            answer = await hosts[0].complete(DEMAND, 8, keyed("booking-123"))
-            assert answer.text == expected_text(DEMAND, 8)
-            again = await hosts[1].complete(DEMAND, 8, keyed("booking-123"))
-            assert again.text == expected_text(DEMAND, 8)
-            assert await fleet.count_runs(DEMAND, engines) == 1
+            response = await hosts[0].complete(PROMPT, 8, keyed("booking-123"))
+            assert response.text == expected_text(PROMPT, 8)
+            again = await hosts[1].complete(PROMPT, 8, keyed("booking-123"))
+            assert again.text == expected_text(PROMPT, 8)
+            assert await fleet.count_runs(PROMPT, engines) == 1
 
     asyncio.run(run())
 
 
 @pytest.mark.parametrize("headers", [{"Gypsumusher-Idempotent": "no"}, {}])
-def test_an_engine_that_ran_it_and_then_closed(headers):
-    """A booking would run on two engines.
+def test_engine_that_closes_after_running_a_request(headers):
+    """Guards against running a non-idempotent request on two engines.
 
-    The engine reads the request, runs it, and closes the connection unanswered.
-    Cause: a closed connection looks the same whether or not the request ran.
+    The engine reads and runs the request, then closes the connection without a
+    response. A closed connection does not tell whether the request ran.
     """
 
     async def run():
@@ -459,37 +459,37 @@
             hosts, engines = await fleet.start_system(hosts=1, engines=2)
             for engine in engines:
                 await engine.control(close_after_read=1)
-            answer = await hosts[0].complete(DEMAND, 8, headers)
-            runs = await fleet.count_runs(DEMAND, engines)
+            response = await hosts[0].complete(PROMPT, 8, headers)
+            runs = await fleet.count_runs(PROMPT, engines)
             if headers:
-                assert answer.error["run"] == "unknown"
-                assert answer.headers["X-Should-Retry"] == "false"
+                assert response.error["run"] == "unknown"
+                assert response.headers["X-Should-Retry"] == "false"
                 assert runs == 1
                 return
-            # Idempotent work may run again, within the retry budget.
-            if answer.status == 200:
-                assert answer.text == expected_text(DEMAND, 8)
+            # Idempotent requests may run again, within the retry budget.
+            if response.status == 200:
+                assert response.text == expected_text(PROMPT, 8)
                 return
-            assert answer.error["run"] == "unknown"
+            assert response.error["run"] == "unknown"
 
     asyncio.run(run())
 
 
-def test_an_engines_own_refusal_may_be_tried_elsewhere():
+def test_request_refused_by_an_engine_is_retried_on_another():
     async def run():
         async with Fleet() as fleet:
             hosts, engines = await fleet.start_system(hosts=1, engines=2)
-            # The host still believes the lagging report when the engine changes.
+            # The host still relies on the outdated load report when the engine drains.
             await engines[0].control(load_lag_s=5)
             order = {"order_id": "o1", "term": 99, "goal": {"drain": True}}
             url = f"http://{engines[0].address}/orders"
             async with fleet.session.post(url, json=order) as accepted:
                 assert accepted.status == 202
             for number in range(6):
-                prompt = f"{DEMAND} {number}"
+                prompt = f"{PROMPT} {number}"
                 no = {"Gypsumusher-Idempotent": "no"}
-                answer = await hosts[0].complete(prompt, 8, no)
-                assert answer.text == expected_text(prompt, 8)
+                response = await hosts[0].complete(prompt, 8, no)
+                assert response.text == expected_text(prompt, 8)
                 assert await fleet.count_runs(prompt, engines) == 1
             assert (await engines[0].counters())["prompts"] == {}
 
@@ -503,10 +503,10 @@
 
 @pytest.mark.parametrize("method", ["POST", "PUT", "DELETE"])
 def test_a_service_call_on_a_reused_connection_is_not_repeated(method):
-    """A label would be printed twice.
+    """Guards against a service call that takes effect twice.
 
-    A replica reads a call on a kept-alive connection and closes it unanswered.
-    Cause: HTTP clients repeat PUT and DELETE by themselves on such a connection.
+    A replica reads a call on a keep-alive connection and closes the connection
+    without a response. HTTP clients repeat PUT and DELETE automatically in that case.
     """
 
     async def run():
@@ -524,14 +524,14 @@
             before = await service_count(services)
             for service in services:
                 await service.control(close_after_read=1)
-            answer = await hosts[0].call(method, path, b"label 7")
-            assert answer.error["run"] == "unknown"
+            response = await hosts[0].call(method, path, b"label 7")
+            assert response.error["run"] == "unknown"
             assert await service_count(services) == before + 1
 
     asyncio.run(run())
 
 
-def test_service_replicas_that_close_idle_connections_cost_no_call():
+def test_service_calls_survive_closed_idle_connections():
     async def run():
         async with Fleet() as fleet:
             hosts, _ = await fleet.start_system(hosts=1, engines=0)
@@ -546,8 +546,8 @@
             before = await service_count([service])
             for number in range(10):
                 body = f"label {number}".encode()
-                answer = await hosts[0].call("POST", path, body)
-                assert answer.json["echo"] == f"label {number}"
+                response = await hosts[0].call("POST", path, body)
+                assert response.json["echo"] == f"label {number}"
             assert await service_count([service]) == before + 10
 
     asyncio.run(run())
@@ -561,8 +561,8 @@
             path = "/v1/services/counter-api/labels"
 
             async def is_served():
-                answers = [await host.call("GET", path) for host in hosts]
-                return all(answer.status == 200 for answer in answers)
+                responses = [await host.call("GET", path) for host in hosts]
+                return all(response.status == 200 for response in responses)
 
             await wait_until(is_served, "the replica to be known")
             before = await service_count([service])
--- a/tests/test_outage.py
+++ b/tests/test_outage.py
@@ -1,4 +1,4 @@
-"""A platform that is down, slow or silent for long stops no serving."""
+"""Hosts keep serving while the platform is down, slow or unresponsive."""
 
 import asyncio
 
@@ -12,38 +12,38 @@
 READS_PER_S = 20.0
 WRITES_PER_S = 5.0
 BUDGET = {"platform": {"reads_per_s": READS_PER_S, "writes_per_s": WRITES_PER_S}}
-# The budget's burst, and calls that were counted on both sides of the measurement.
+# Allows for the budget's burst and for calls in flight at the start and end.
 SLACK_CALLS = 2 * (READS_PER_S + WRITES_PER_S)
 
 
 async def assert_served(hosts, count, tag):
-    """Send requests through every host; each has to be answered whole."""
+    """Send requests through every host and check that each response is complete."""
     prompts = [f"{tag} {number}" for number in range(count)]
     calls = [
         hosts[number % len(hosts)].complete(prompt, 8, stream=number % 2 == 0)
         for number, prompt in enumerate(prompts)
     ]
-    for prompt, answer in zip(prompts, await asyncio.gather(*calls)):
-        assert answer.status == 200, answer
-        assert answer.text == expected_text(prompt, 8)
+    for prompt, response in zip(prompts, await asyncio.gather(*calls)):
+        assert response.status == 200, response
+        assert response.text == expected_text(prompt, 8)
 
 
 async def wait_for_platform_state(hosts, is_up):
-    async def all_see_it():
+    async def all_agree():
         states = [(await host.status())["platform"]["state"] for host in hosts]
         return all((state == "up") == is_up for state in states)
 
-    await wait_until(all_see_it, f"every host to see the platform up: {is_up}")
+    await wait_until(all_agree, f"every host to see the platform up: {is_up}")
 
 
-async def calls_of(fleet, host):
-    """Return how many calls of a host have reached the platform."""
+async def count_platform_calls(fleet, host):
+    """Return how many calls from a host have reached the platform."""
     counts = (await fleet.platform.counters())["calls"]
     return sum(counts[host.name].values())
 
 
 async def serve_for(hosts, seconds, tag):
-    """Serve rounds of requests for some time; return the time that it took."""
+    """Send rounds of requests for at least `seconds`; return the elapsed time."""
     loop = asyncio.get_running_loop()
     start_s = loop.time()
     number = 0
@@ -54,18 +54,18 @@
 
 
 @pytest.mark.parametrize(
-    "fault, mended",
+    "fault, repair",
     [
         ({"outage": True}, {"outage": False}),
         ({"hang": True}, {"hang": False}),
         ({"cut_clients": ["h1", "h2", "h3"]}, {"cut_clients": []}),
     ],
 )
-def test_serving_goes_on_and_calls_stay_in_budget(fault, mended):
-    """A platform that comes back would be knocked down by all hosts at once.
+def test_outage_stops_no_serving_and_calls_stay_in_budget(fault, repair):
+    """Guards against overloading the platform when it recovers.
 
-    The platform is down for longer than every lease and watch; then it returns.
-    Cause: hosts that retry at once, in step, and without a bound.
+    The platform is down for longer than every lease and watch, then recovers. Hosts
+    that retry immediately, in step and without a bound would overload it.
     """
 
     async def run():
@@ -73,16 +73,16 @@
             hosts, _ = await fleet.start_system(hosts=3, engines=2, **BUDGET)
             await fleet.platform.control(**fault)
             await wait_for_platform_state(hosts, False)
-            before = [await calls_of(fleet, host) for host in hosts]
+            before = [await count_platform_calls(fleet, host) for host in hosts]
             down_s = await serve_for(hosts, 3.0, "during the outage")
-            during = [await calls_of(fleet, host) for host in hosts]
+            during = [await count_platform_calls(fleet, host) for host in hosts]
             allowed = (READS_PER_S + WRITES_PER_S) * down_s + SLACK_CALLS
             for earlier, later in zip(before, during):
                 assert later - earlier <= allowed
-            await fleet.platform.control(**mended)
+            await fleet.platform.control(**repair)
             await wait_for_platform_state(hosts, True)
             back_s = await serve_for(hosts, 1.0, "after the return")
-            after = [await calls_of(fleet, host) for host in hosts]
+            after = [await count_platform_calls(fleet, host) for host in hosts]
             allowed = (READS_PER_S + WRITES_PER_S) * back_s + SLACK_CALLS
             for earlier, later in zip(during, after):
                 assert later - earlier <= allowed
@@ -91,12 +91,11 @@
     asyncio.run(run())
 
 
-def test_roles_stay_and_orders_wait():
-    """Engines would be ordered about by hosts that hold no lease.
+def test_no_orders_are_sent_without_a_lease():
+    """Guards against orders from a steward whose lease has expired.
 
-    The platform goes down with a new version just in force; nobody holds a lease,
-    so nothing is ordered until it is back.
-    Cause: a steward that goes on without its lease.
+    The platform goes down until no host holds a lease, so no orders are sent before
+    it recovers. A rollout afterwards completes.
     """
 
     async def run():
@@ -114,7 +113,7 @@
                 rows = [row for h in hosts for row in (await h.status())["stewards"]]
                 return rows == []
 
-            await wait_until(no_steward, "the lease to lapse")
+            await wait_until(no_steward, "the lease to expire")
             await assert_served(hosts, 8, "without a steward")
             for engine in engines:
                 assert (await engine.counters())["orders"] == []
@@ -135,11 +134,11 @@
     asyncio.run(run())
 
 
-def test_a_slow_platform():
-    """Every request would wait for the platform's slow answers.
+def test_slow_platform_delays_no_ordinary_request():
+    """Guards against ordinary requests that wait for the platform.
 
-    The platform takes most of the call time-out to answer anything.
-    Cause: a platform call on the path of ordinary requests.
+    Each platform call takes most of the call time-out. A platform call on the path of
+    ordinary requests would delay them all.
     """
 
     async def run():
@@ -150,12 +149,12 @@
             await assert_served(hosts, 20, "with a slow platform")
             key = await hosts[0].mint_key()
             headers = {"Idempotency-Key": key}
-            answer = await hosts[0].complete("a booking", 8, headers)
-            assert answer.text == expected_text("a booking", 8)
+            response = await hosts[0].complete("a booking", 8, headers)
+            assert response.text == expected_text("a booking", 8)
             assert await fleet.count_runs("a booking", engines) == 1
             patch = {"deployments": {"letter-models": {"retry_ratio": 0.2}}}
-            answer = await hosts[0].patch(1, patch, "patch-a")
-            assert answer.status == 200, answer
+            response = await hosts[0].patch(1, patch, "patch-a")
+            assert response.status == 200, response
 
             async def is_everywhere():
                 return [(await h.status())["config_number"] for h in hosts] == [2, 2]
@@ -167,12 +166,12 @@
     asyncio.run(run())
 
 
-def test_an_outage_between_a_booking_and_its_repeat():
-    """A repeat during an outage would book a second crew.
+def test_request_repeated_during_an_outage_runs_once():
+    """Guards against running a non-idempotent request again during an outage.
 
-    A booking is answered; the platform goes down; the caller repeats it through
-    both hosts, with a minted key and with one of its own.
-    Cause: the record of what ran is out of reach.
+    After the response, the platform goes down, and the caller repeats the request
+    through both hosts, with a minted key and with its own. The record of what ran is
+    unreachable.
     """
 
     async def run():
@@ -181,20 +180,20 @@
             keys = [await hosts[0].mint_key(), "booking-123"]
             for key in keys:
                 headers = {"Idempotency-Key": key}
-                answer = await hosts[0].complete(f"booking {key}", 8, headers)
-                assert answer.status == 200
+                response = await hosts[0].complete(f"booking {key}", 8, headers)
+                assert response.status == 200
             await fleet.platform.control(outage=True)
             await wait_for_platform_state(hosts, False)
             for key in keys:
                 prompt = f"booking {key}"
                 headers = {"Idempotency-Key": key}
                 for host in hosts:
-                    answer = await host.complete(prompt, 8, headers)
-                    if answer.status == 200:
-                        assert answer.text == expected_text(prompt, 8)
+                    response = await host.complete(prompt, 8, headers)
+                    if response.status == 200:
+                        assert response.text == expected_text(prompt, 8)
                         continue
-                    assert answer.status in {409, 503}, answer
-                    assert answer.error["run"] == "unknown", answer
+                    assert response.status in {409, 503}, response
+                    assert response.error["run"] == "unknown", response
                 assert await fleet.count_runs(prompt, engines) == 1
 
     asyncio.run(run())
--- a/tests/test_whole_answers.py
+++ b/tests/test_whole_answers.py
@@ -1,4 +1,4 @@
-"""A caller receives the whole answer to its own request, or knows that it did not."""
+"""Callers receive their own complete response, or can tell that they did not."""
 
 import asyncio
 
@@ -10,11 +10,11 @@
 
 pytestmark = pytest.mark.processes
 
-LETTER = "a tenancy notice for flat 12"
+PROMPT = "a tenancy notice for flat 12"
 
 
 async def open_stream(fleet, host, prompt, max_tokens):
-    """Begin a streamed completion; return the open HTTP answer."""
+    """Start a streamed completion and return the open HTTP response."""
     body = {
         "model": "letter-models",
         "prompt": prompt,
@@ -25,28 +25,28 @@
     return await fleet.session.post(url, json=body)
 
 
-async def read_events(answer, count):
-    """Read until some events have come; return the bytes of whole events."""
+async def read_events(response, count):
+    """Read until `count` events were received; return the bytes of complete events."""
     received = b""
     while received.count(b"\n\n") < count:
-        part = await answer.content.readany()
+        part = await response.content.readany()
         assert part, "the stream ended early"
         received += part
     return received[: received.rindex(b"\n\n") + 2]
 
 
-async def read_to_end(answer):
-    """Read what comes until the end or the break of the connection."""
+async def read_to_end(response):
+    """Read to the end; return the bytes and whether the connection ended cleanly."""
     received = b""
     try:
-        async for part in answer.content.iter_any():
+        async for part in response.content.iter_any():
             received += part
     except aiohttp.ClientError:
         return received, False
     return received, True
 
 
-def last_id(received):
+def last_event_id(received):
     return str(stream_events(received)[-1][0])
 
 
@@ -55,26 +55,25 @@
     return await host.call("GET", "/v1/resume", headers=headers)
 
 
-def assert_whole_stream(received, prompt, max_tokens):
-    """Check that a stream has each event once, in order, to its end marker."""
+def assert_complete_stream(received, prompt, max_tokens):
+    """Check that a stream has each event once, in order, and its end marker."""
     numbers = [number for number, _ in stream_events(received)]
     assert numbers == list(range(1, len(numbers) + 1))
     assert is_done(received)
     assert stream_text(received) == expected_text(prompt, max_tokens)
 
 
-def assert_visibly_cut(answer, prompt):
-    """Check that a caller sees the cut, and that what came is its own text."""
-    assert not answer.is_complete or stream_error(answer.body)["run"] == "unknown"
-    assert expected_text(prompt, 500).startswith(stream_text(answer.body))
+def assert_detectably_truncated(response, prompt):
+    """Check that a caller can detect truncation and received only its own text."""
+    assert not response.is_complete or stream_error(response.body)["run"] == "unknown"
+    assert expected_text(prompt, 500).startswith(stream_text(response.body))
 
 
-def test_an_entry_host_killed_in_mid_stream():
-    """A letter would be printed without its last page.
+def test_stream_is_resumed_after_its_entry_host_was_killed():
+    """Guards against a truncated response after the loss of the entry host.
 
-    The entry host dies in the middle of an answer; the caller takes the stream up
-    through another host from its last event on.
-    Cause: only the dead host knew where the stream was.
+    The entry host is killed during a stream, and the caller resumes it through
+    another host from its last event. Only the killed host knew the stream's position.
     """
 
     async def run():
@@ -82,52 +81,51 @@
             hosts, engines = await fleet.start_system(hosts=2, engines=2)
             for engine in engines:
                 await engine.control(slow_factor=10)
-            answer = await open_stream(fleet, hosts[0], LETTER, 100)
-            token = answer.headers["Gypsumusher-Resume"]
-            received = await read_events(answer, 10)
+            response = await open_stream(fleet, hosts[0], PROMPT, 100)
+            token = response.headers["Gypsumusher-Resume"]
+            received = await read_events(response, 10)
             hosts[0].kill()
-            answer.close()
-            rest = await resume(hosts[1], token, last_id(received))
+            response.close()
+            rest = await resume(hosts[1], token, last_event_id(received))
             assert rest.is_complete
-            assert_whole_stream(received + rest.body, LETTER, 100)
-            assert await fleet.count_runs(LETTER, engines) == 1
+            assert_complete_stream(received + rest.body, PROMPT, 100)
+            assert await fleet.count_runs(PROMPT, engines) == 1
 
     asyncio.run(run())
 
 
-def test_two_breaks_of_one_stream():
-    """A caller whose line is bad would have to begin again each time.
+def test_stream_is_resumed_after_two_disconnects():
+    """Guards against a stream that cannot be resumed after its connection closes.
 
-    The caller loses its connection twice and resumes through either host; the last
-    time the answer has long been finished.
-    Cause: a stream that ends with its connection.
+    The caller loses its connection twice and resumes through either host. The last
+    time, the engine has already finished the response.
     """
 
     async def run():
         async with Fleet() as fleet:
             hosts, engines = await fleet.start_system(hosts=2, engines=1)
             await engines[0].control(slow_factor=10)
-            answer = await open_stream(fleet, hosts[0], LETTER, 60)
-            token = answer.headers["Gypsumusher-Resume"]
-            received = await read_events(answer, 5)
-            answer.close()
+            response = await open_stream(fleet, hosts[0], PROMPT, 60)
+            token = response.headers["Gypsumusher-Resume"]
+            received = await read_events(response, 5)
+            response.close()
             url = f"http://{hosts[1].addresses['callers']}/v1/resume"
             headers = {
                 "Gypsumusher-Resume": token,
-                "Last-Event-ID": last_id(received),
+                "Last-Event-ID": last_event_id(received),
             }
-            answer = await fleet.session.get(url, headers=headers)
-            received += await read_events(answer, 5)
-            answer.close()
+            response = await fleet.session.get(url, headers=headers)
+            received += await read_events(response, 5)
+            response.close()
             await engines[0].control(slow_factor=1)
 
             async def is_idle():
                 return (await engines[0].counters())["running"] == 0
 
             await wait_until(is_idle, "the engine to finish")
-            rest = await resume(hosts[0], token, last_id(received))
-            assert_whole_stream(received + rest.body, LETTER, 60)
-            assert await fleet.count_runs(LETTER, engines) == 1
+            rest = await resume(hosts[0], token, last_event_id(received))
+            assert_complete_stream(received + rest.body, PROMPT, 60)
+            assert await fleet.count_runs(PROMPT, engines) == 1
 
     asyncio.run(run())
 
@@ -136,9 +134,9 @@
     async def run():
         async with Fleet() as fleet:
             hosts, _ = await fleet.start_system(hosts=1, engines=1)
-            answer = await open_stream(fleet, hosts[0], LETTER, 5)
-            token = answer.headers["Gypsumusher-Resume"]
-            await read_to_end(answer)
+            response = await open_stream(fleet, hosts[0], PROMPT, 5)
+            token = response.headers["Gypsumusher-Resume"]
+            await read_to_end(response)
             changed = token[:-4] + ("AAAA" if token[-4:] != "AAAA" else "BBBB")
             for wrong in (changed, "x", ""):
                 refused = await resume(hosts[0], wrong, "0")
@@ -152,12 +150,12 @@
 @pytest.mark.parametrize(
     "fault", ["cross_next", "truncate_next", "overlong_next", "break_after_events"]
 )
-def test_answers_that_are_crossed_cut_or_too_long(fault, stream):
-    """A tenant would get another tenant's letter, or half of one.
+def test_swapped_truncated_and_overlong_responses_are_detected(fault, stream):
+    """Guards against passing on another caller's response or an incomplete one.
 
-    An engine answers with somebody else's answer, ends early in a proper way, goes
-    on past the limit, or breaks off.
-    Cause: an answer that is passed on without a look at its id, length and end.
+    An engine returns the response of another request, ends the stream early but
+    cleanly, exceeds the token limit, or closes the connection. Each is detected only
+    by checking the response's id, length and end marker.
     """
 
     async def run():
@@ -167,18 +165,18 @@
             for number in range(4):
                 for engine in engines:
                     await engine.control(**{fault: 3 if "break" in fault else 1})
-                prompt = f"{LETTER} {number}"
-                answer = await hosts[0].complete(prompt, 20, stream=stream)
-                if answer.status != 200:
-                    assert answer.error["run"] == "unknown"
+                prompt = f"{PROMPT} {number}"
+                response = await hosts[0].complete(prompt, 20, stream=stream)
+                if response.status != 200:
+                    assert response.error["run"] == "unknown"
                     continue
-                if stream and not is_done(answer.body):
-                    assert_visibly_cut(answer, prompt)
+                if stream and not is_done(response.body):
+                    assert_detectably_truncated(response, prompt)
                     continue
                 served += 1
-                assert answer.text == expected_text(prompt, 20)
+                assert response.text == expected_text(prompt, 20)
                 if stream:
-                    assert_whole_stream(answer.body, prompt, 20)
+                    assert_complete_stream(response.body, prompt, 20)
             if fault in {"truncate_next", "break_after_events"} and stream:
                 assert served == 4
 
@@ -186,12 +184,11 @@
 
 
 @pytest.mark.parametrize("stream", [True, False])
-def test_an_engine_that_crashes_in_the_middle(stream):
-    """A letter would be put together from two different answers.
+def test_engine_crash_during_a_response(stream):
+    """Guards against a response composed of two different attempts.
 
-    The engine dies in the middle of an answer and another one could run the request
-    again.
-    Cause: two attempts of one request don't give the same words.
+    The engine is killed during a response and another engine could run the request
+    again. Two attempts of one request do not generate the same text.
     """
 
     async def run():
@@ -199,7 +196,7 @@
             hosts, engines = await fleet.start_system(hosts=1, engines=2)
             for engine in engines:
                 await engine.control(slow_factor=10)
-            call = asyncio.create_task(hosts[0].complete(LETTER, 100, stream=stream))
+            call = asyncio.create_task(hosts[0].complete(PROMPT, 100, stream=stream))
 
             async def running_engine():
                 for engine in engines:
@@ -211,19 +208,19 @@
             if stream:
                 await asyncio.sleep(0.2)
             engine.kill()
-            answer = await call
-            if answer.status != 200:
-                assert answer.error["run"] == "unknown"
+            response = await call
+            if response.status != 200:
+                assert response.error["run"] == "unknown"
                 return
-            if stream and not is_done(answer.body):
-                assert_visibly_cut(answer, LETTER)
+            if stream and not is_done(response.body):
+                assert_detectably_truncated(response, PROMPT)
                 return
-            assert answer.text == expected_text(LETTER, 100)
+            assert response.text == expected_text(PROMPT, 100)
 
     asyncio.run(run())
 
 
-def test_many_callers_under_faults_get_their_own_answers():
+def test_many_callers_under_faults_get_their_own_responses():
     async def run():
         async with Fleet() as fleet:
             hosts, engines = await fleet.start_system(hosts=2, engines=3)
@@ -231,37 +228,37 @@
                 await engine.control(
                     cross_next=2, truncate_next=3, close_after_read=1, error_rate=0.05
                 )
-            prompts = [f"{LETTER} of caller {number}" for number in range(60)]
+            prompts = [f"{PROMPT} of caller {number}" for number in range(60)]
             calls = [
                 hosts[number % 2].complete(prompt, 30, stream=number % 3 == 0)
                 for number, prompt in enumerate(prompts)
             ]
-            answers = await asyncio.gather(*calls)
+            responses = await asyncio.gather(*calls)
             served = 0
-            for prompt, answer in zip(prompts, answers):
-                if answer.status != 200 or not answer.is_complete:
+            for prompt, response in zip(prompts, responses):
+                if response.status != 200 or not response.is_complete:
                     continue
                 served += 1
-                assert answer.text == expected_text(prompt, 30)
+                assert response.text == expected_text(prompt, 30)
             assert served >= 40
 
     asyncio.run(run())
 
 
-def test_a_caller_that_goes_away_frees_the_engine():
-    """The fleet would work for nobody while urgent work waits.
+def test_disconnected_caller_frees_the_engine():
+    """Guards against engines that generate tokens for absent callers.
 
-    A caller breaks off in the middle of a long answer and doesn't come back.
-    Cause: an engine's stream goes on after its connection.
+    A caller closes its connection during a long response and does not resume. A
+    resumable stream continues after its connection closes, so it has to be cancelled.
     """
 
     async def run():
         async with Fleet() as fleet:
             hosts, engines = await fleet.start_system(hosts=1, engines=1)
             await engines[0].control(slow_factor=50)
-            answer = await open_stream(fleet, hosts[0], LETTER, 2000)
-            await read_events(answer, 3)
-            answer.close()
+            response = await open_stream(fleet, hosts[0], PROMPT, 2000)
+            await read_events(response, 3)
+            response.close()
 
             async def is_idle():
                 return (await engines[0].counters())["running"] == 0
@@ -271,7 +268,7 @@
     asyncio.run(run())
 
 
-def test_a_prefill_and_a_decode_engine_give_one_whole_answer():
+def test_prefill_and_decode_engines_give_one_complete_response():
     async def run():
         async with Fleet() as fleet:
             hosts, engines = await fleet.start_system(hosts=1, engines=0)
@@ -279,11 +276,11 @@
                 engines.append(await fleet.start_engine(name, role=role))
             await fleet.wait_until_served(hosts, 2)
             for stream in (False, True):
-                prompt = f"{LETTER} {'long ' * 500}{stream}"
-                answer = await hosts[0].complete(prompt, 30, stream=stream)
-                assert answer.text == expected_text(prompt, 30), answer
+                prompt = f"{PROMPT} {'long ' * 500}{stream}"
+                response = await hosts[0].complete(prompt, 30, stream=stream)
+                assert response.text == expected_text(prompt, 30), response
                 if stream:
-                    assert_whole_stream(answer.body, prompt, 30)
+                    assert_complete_stream(response.body, prompt, 30)
                 assert await fleet.count_runs(prompt, engines) == 1
 
     asyncio.run(run())
