--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -1,4 +1,4 @@
-"""Malformed, oversized, slow and unauthenticated input: clear errors, no harm."""
+"""Malformed, oversized, slow and unauthenticated input gets clear errors."""
 
 import asyncio
 import json
@@ -23,7 +23,7 @@
 MEMORY_GROWTH_LIMIT_BYTES = 80 * 1024 * 1024
 COMPLETIONS = "/v1/completions"
 UNREAD_TOKENS = 40_000
-# One answer's buffer in the host is 1 MiB; the rest is the libraries' and the heap's.
+# The host buffers 1 MiB for one response; the rest allows for libraries and the heap.
 UNREAD_LIMIT_BYTES = 2 * 1024 * 1024
 
 
@@ -35,12 +35,12 @@
 
 
 async def assert_serves(host):
-    answer = await host.complete("a letter after all that", 8)
-    assert answer.text == expected_text("a letter after all that", 8)
+    response = await host.complete("a letter after all that", 8)
+    assert response.text == expected_text("a letter after all that", 8)
 
 
 async def send_raw(address, data):
-    """Send bytes on a fresh connection and half-close; read what comes back."""
+    """Send bytes on a new connection, half-close it and return the response."""
     ip, port = address.split(":")
     reader, writer = await asyncio.open_connection(ip, int(port))
     try:
@@ -80,7 +80,7 @@
 ]
 
 
-def test_callers_bad_requests_get_typed_refusals():
+def test_invalid_requests_of_callers_get_error_codes():
     async def run():
         async with Fleet() as fleet:
             limits = {"max_body_bytes": 200_000, "body_timeout_s": 0.5}
@@ -89,17 +89,17 @@
             )
             host = hosts[0]
             for body, status, code in BAD_BODIES:
-                answer = await host.call("POST", COMPLETIONS, body)
-                assert answer.status == status, (body, answer)
-                assert answer.error["code"] == code
-                assert answer.error["run"] == "no"
+                response = await host.call("POST", COMPLETIONS, body)
+                assert response.status == status, (body, response)
+                assert response.error["code"] == code
+                assert response.error["run"] == "no"
             for headers, status, code in BAD_HEADERS:
-                answer = await host.complete("x", 4, headers)
+                response = await host.complete("x", 4, headers)
                 if status is None:
-                    assert answer.status in {200, 400, 409}, answer
+                    assert response.status in {200, 400, 409}, response
                     continue
-                assert answer.status == status, (headers, answer)
-                assert answer.error["code"] == code
+                assert response.status == status, (headers, response)
+                assert response.error["code"] == code
             large = await host.complete("x" * 300_000, 4)
             assert large.status == 413
             assert large.error["code"] == "too_large"
@@ -111,11 +111,10 @@
 
 
 def test_arbitrary_bytes_on_every_listener():
-    """One stranger's garbage would stop an entry host, or fill its memory.
+    """Guards against uncaught errors and unbounded buffers on malformed input.
 
-    Random bytes, cut requests and huge announced lengths come on the callers', the
-    operators' and the peers' listener.
-    Cause: an error that nobody catches, or a buffer that nobody bounds.
+    Random bytes, truncated requests and huge declared lengths arrive on the callers',
+    the operators' and the peers' listener.
     """
 
     async def run():
@@ -124,7 +123,7 @@
             host = hosts[0]
             rng = random.Random(FUZZ_SEED)
             await assert_serves(host)
-            before = memory_bytes(host)
+            before_bytes = memory_bytes(host)
             heads = [
                 b"",
                 b"POST /v1/completions HTTP/1.1\r\n",
@@ -138,7 +137,7 @@
                 listener = ("callers", "operators", "peers")[number % 3]
                 data = rng.choice(heads) + rng.randbytes(rng.randrange(400))
                 await send_raw(host.addresses[listener], data)
-            assert memory_bytes(host) - before < MEMORY_GROWTH_LIMIT_BYTES
+            assert memory_bytes(host) - before_bytes < MEMORY_GROWTH_LIMIT_BYTES
             assert host.exit_code() is None
             assert "Traceback" not in host.log_text()
             await assert_serves(host)
@@ -146,7 +145,7 @@
     asyncio.run(run())
 
 
-def test_slow_senders_do_not_hold_the_host():
+def test_slow_senders_block_no_other_caller():
     async def run():
         async with Fleet() as fleet:
             limits = {"body_timeout_s": 0.5}
@@ -169,11 +168,11 @@
 
 
 def test_callers_reach_neither_operators_nor_peers():
-    """A caller could change the configuration, or be taken for an entry host.
+    """Guards against callers that change the configuration or act as a peer.
 
-    It tries the operators' calls on its own listener, the operators' listener with
-    no token or a wrong one, and the peers' listener without the key.
-    Cause: a listener that serves more than its own callers.
+    A caller tries the operators' routes on the callers' listener, the operators'
+    listener with a missing or wrong token, and the peers' listener without the key.
+    Each listener must serve only its own routes.
     """
 
     async def run():
@@ -184,13 +183,13 @@
             for path in paths:
                 assert (await host.call("GET", path)).status == 404
                 for headers in ({}, {"Authorization": "Bearer wrong"}):
-                    answer = await host.call("GET", path, None, headers, "operators")
-                    assert answer.status == 401, answer
+                    response = await host.call("GET", path, None, headers, "operators")
+                    assert response.status == 401, response
             body = {"base_number": 1, "patch": {}, "patch_id": "p"}
-            answer = await host.call(
+            response = await host.call(
                 "POST", "/admin/config/patch", body, {}, "operators"
             )
-            assert answer.status == 401
+            assert response.status == 401
             assert (await host.admin("GET", "/status")).status == 200
             assert (
                 await host.call("GET", "/v1/entry", None, {}, "operators")
@@ -204,11 +203,11 @@
     asyncio.run(run())
 
 
-def test_a_stranger_is_no_peer():
-    """A stranger would put its own configuration in force on a host.
+def test_peer_with_a_wrong_key_is_rejected():
+    """Guards against accepting state from an unauthenticated process.
 
-    It speaks the peers' protocol, but holds another key.
-    Cause: peers that believe whoever connects.
+    The process uses the peers' protocol with another key. A host that accepted any
+    connection could be given a foreign configuration.
     """
 
     async def run():
@@ -216,19 +215,19 @@
             hosts, _ = await fleet.start_system(hosts=1, engines=1)
             ip, port = hosts[0].addresses["peers"].split(":")
             keys = KeyRing([("k1", "not the secret of the test hosts")])
-            stranger = Identity("h2", "made-up")
-            link = PeerClient(ip, int(port), stranger, keys)
-            await link.start()
-            result = await link.request({"type": "gossip", "config": 99}, 0.5)
+            identity = Identity("h2", "made-up")
+            client = PeerClient(ip, int(port), identity, keys)
+            await client.start()
+            result = await client.request({"type": "gossip", "config": 99}, 0.5)
             error = result.failure()
             assert error.kind == "handshake"
             assert not error.sent
-            await link.close()
+            await client.close()
 
             async def is_logged():
                 return "event=peer_error" in hosts[0].log_text()
 
-            await wait_until(is_logged, "the stranger to be logged")
+            await wait_until(is_logged, "the failed handshake to be logged")
             rows = (await hosts[0].status())["hosts"]
             assert [row["name"] for row in rows] == ["h1"]
             await assert_serves(hosts[0])
@@ -236,11 +235,11 @@
     asyncio.run(run())
 
 
-def test_peers_with_wrong_messages_do_no_harm():
-    """A host of another version would stop the others.
+def test_invalid_messages_of_peers_change_nothing():
+    """Guards against a host that fails on messages from another version.
 
-    A process with the right key sends messages of wrong types and shapes.
-    Cause: a message that is used before it is checked.
+    A process with the right key sends messages with wrong types and shapes. Each
+    message has to be validated before it is used.
     """
 
     async def run():
@@ -248,13 +247,13 @@
             hosts, _ = await fleet.start_system(hosts=1, engines=1)
             ip, port = hosts[0].addresses["peers"].split(":")
             key = FAST_SETTINGS["peers"]["keys"][0]
-            link = PeerClient(
+            client = PeerClient(
                 ip,
                 int(port),
                 Identity("h9", "made-up"),
                 KeyRing([(key["id"], key["secret"])]),
             )
-            await link.start()
+            await client.start()
             wrong = [None, 3, "text", [], [1], {}, {"a": 1}, {"a": None}]
             fields = ["type", "state", "config", "loads", "demands", "leaving"]
             fields += ["suspicions", "convictions", "record", "hash", "stream_id"]
@@ -262,8 +261,8 @@
                 for field in fields:
                     for value in wrong:
                         message = {"type": kind, field: value}
-                        await link.request(message, 2.0)
-            await link.close()
+                        await client.request(message, 2.0)
+            await client.close()
             assert (await hosts[0].status())["config_number"] == 1
             assert await hosts[0].is_ready()
             await assert_serves(hosts[0])
@@ -285,7 +284,7 @@
 
 
 @pytest.mark.parametrize("fault, key", SETTINGS_FAULTS)
-def test_bad_settings_name_their_key_and_end_with_code_2(tmp_path, fault, key):
+def test_invalid_settings_report_their_key_and_exit_with_code_2(tmp_path, fault, key):
     good = {
         "host": {"name": "h1", "zone": "suwon-a"},
         "platform": {"urls": ["http://127.0.0.1:1"]},
@@ -293,24 +292,24 @@
     path = tmp_path / "settings.yaml"
     path.write_text(safe_dump(merge_nested(merge_nested(FAST_SETTINGS, good), fault)))
     argv = [sys.executable, "-m", "gypsumusher_daemon", "--settings", str(path)]
-    done = subprocess.run([*argv, "--check"], capture_output=True, text=True)
-    assert done.returncode == 2, done
-    assert key in done.stderr
-    assert str(path) in done.stderr
-    assert "Traceback" not in done.stderr
+    completed = subprocess.run([*argv, "--check"], capture_output=True, text=True)
+    assert completed.returncode == 2, completed
+    assert key in completed.stderr
+    assert str(path) in completed.stderr
+    assert "Traceback" not in completed.stderr
 
 
 @pytest.mark.parametrize("text", ["", "[]", "{", "a: b: c", "\x00", "host: {"])
-def test_files_that_are_no_settings_end_with_code_2(tmp_path, text):
+def test_malformed_settings_files_exit_with_code_2(tmp_path, text):
     path = tmp_path / "settings.yaml"
     path.write_text(text)
     argv = [sys.executable, "-m", "gypsumusher_daemon", "--settings", str(path)]
-    done = subprocess.run([*argv, "--check"], capture_output=True, text=True)
-    assert done.returncode == 2, done
-    assert "Traceback" not in done.stderr
+    completed = subprocess.run([*argv, "--check"], capture_output=True, text=True)
+    assert completed.returncode == 2, completed
+    assert "Traceback" not in completed.stderr
 
 
-def test_an_address_in_use_ends_with_a_message():
+def test_address_in_use_exits_with_a_message():
     async def run():
         async with Fleet() as fleet:
             await fleet.start_platform()
@@ -327,12 +326,11 @@
     asyncio.run(run())
 
 
-def test_a_caller_that_never_reads_holds_no_memory():
-    """One caller that doesn't read would fill the host's memory.
+def test_callers_that_never_read_use_bounded_memory():
+    """Guards against unbounded memory use for callers that do not read.
 
-    Two callers ask for long streams and leave them in the socket, while the engine
-    works on to the end.
-    Cause: events that are kept until they are read.
+    Two callers request long streams and never read them, while the engine generates
+    them to the end. Events that were kept until read would fill the host's memory.
     """
 
     async def run():
@@ -340,10 +338,12 @@
             hosts, _ = await fleet.start_system(hosts=1, engines=0)
             engine = await fleet.start_engine("e1", speed=1000)
             await fleet.wait_until_served(hosts, 1)
-            warm = await hosts[0].complete("a letter", UNREAD_TOKENS, stream=True)
-            unread_bytes = len(warm.body)
+            full_response = await hosts[0].complete(
+                "a letter", UNREAD_TOKENS, stream=True
+            )
+            unread_bytes = len(full_response.body)
             assert unread_bytes > 3 * UNREAD_LIMIT_BYTES
-            before = memory_bytes(hosts[0])
+            before_bytes = memory_bytes(hosts[0])
             sockets = [send_unread(hosts[0], f"unread {n}") for n in range(2)]
 
             async def has_finished():
@@ -351,7 +351,7 @@
                 return len(counters["prompts"]) == 3 and not counters["running"]
 
             await wait_until(has_finished, "the engine to finish")
-            assert memory_bytes(hosts[0]) - before < 2 * UNREAD_LIMIT_BYTES
+            assert memory_bytes(hosts[0]) - before_bytes < 2 * UNREAD_LIMIT_BYTES
             await assert_serves(hosts[0])
             for unread in sockets:
                 unread.close()
@@ -360,10 +360,10 @@
 
 
 def send_unread(host, prompt):
-    """Ask for a long stream on a socket that is never read; return the socket."""
+    """Request a long stream on a socket that is never read; return the socket."""
     ip, port = host.addresses["callers"].split(":")
     unread = socket.socket()
-    # A small receive buffer, so that the kernel doesn't take the whole stream.
+    # A small receive buffer keeps the kernel from buffering the whole stream.
     unread.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
     unread.connect((ip, int(port)))
     body = json.dumps(
@@ -379,7 +379,7 @@
     return unread
 
 
-def test_the_openai_route_tells_the_caller_about_a_refusal_in_json():
+def test_unknown_routes_are_refused_with_json_errors():
     async def run():
         async with Fleet() as fleet:
             hosts, _ = await fleet.start_system(hosts=1, engines=1)
@@ -388,10 +388,10 @@
                 ("POST", "/v1/nothing"),
                 ("GET", "/v1/services/nobody/x"),
             ):
-                answer = await hosts[0].call(method, path)
-                assert answer.status in {404, 405}, answer
-                assert answer.error["code"]
-                assert answer.error["message"]
+                response = await hosts[0].call(method, path)
+                assert response.status in {404, 405}, response
+                assert response.error["code"]
+                assert response.error["message"]
             with pytest.raises(aiohttp.ClientError):
                 await fleet.session.get(f"http://{hosts[0].addresses['peers']}/")
 
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -1,4 +1,4 @@
-"""The capacity page's arithmetic, from the report of a sweep."""
+"""Fits and tables of the capacity page, computed from the report of a sweep."""
 
 import pytest
 from capacity import format_slopes, main
@@ -18,7 +18,7 @@
 """
 
 
-def test_a_report_is_read_with_its_sizes_and_without_what_it_works_out():
+def test_report_is_decoded_with_sizes_and_without_derived_values():
     first, second = decode_sweep("report", REPORT)
     assert first.name == "entry: processor %"
     assert first.median == [(10, 2.2), (30, 2.6), (100, 4.4)]
@@ -27,19 +27,19 @@
 
 
 @pytest.mark.parametrize(
-    ("old", "new", "said"),
+    ("old", "new", "message"),
     [
         ("middle / busiest", "average", "no line begins"),
         ("2.6 / 4.8", "given up", "at 30 hosts is 'given up'"),
         ("10          30         100", "", "no number of hosts"),
     ],
 )
-def test_a_report_that_lacks_something_says_what(old, new, said):
-    with pytest.raises(DecodeError, match=said):
+def test_incomplete_report_is_rejected_with_the_missing_part(old, new, message):
+    with pytest.raises(DecodeError, match=message):
         decode_sweep("report", REPORT.replace(old, new))
 
 
-def test_a_fit_finds_the_slope_and_tells_its_error():
+def test_fit_returns_slope_and_error():
     fit = fit_points([(size, 3.0 * size**0.5) for size in (10, 30, 100, 300)])
     assert (fit.form, fit.slope) == ("power", pytest.approx(0.5))
     assert fit.error == pytest.approx(0.0, abs=1e-9)
@@ -48,19 +48,19 @@
     assert noisy.error > 0.02
 
 
-def test_a_quantity_that_is_none_at_some_size_is_fitted_by_a_line():
+def test_quantity_that_is_zero_at_some_size_gets_a_linear_fit():
     fit = fit_points([(10, 0.0), (20, 5.0), (30, 10.0)])
     assert (fit.form, fit.slope) == ("linear", pytest.approx(0.5))
     assert predict(fit, 40) == pytest.approx(15.0)
     assert predict(fit, 1) == 0.0
 
 
-def test_two_points_are_too_few_for_a_slope():
+def test_fit_of_two_points_is_rejected():
     with pytest.raises(ValueError, match="2 points"):
         fit_points([(1, 1), (2, 2)])
 
 
-def test_what_is_over_its_limit_says_by_how_much():
+def test_table_shows_by_how_much_a_limit_is_exceeded():
     table = format_slopes(decode_sweep("report", REPORT), 330)
     lines = table.splitlines()
     assert "| 10 | 30 | 100 | grows |" in lines[0]
@@ -68,7 +68,7 @@
     assert lines[4].endswith("|  |")
 
 
-def test_a_file_that_is_no_report_ends_in_one_message(tmp_path, capsys):
+def test_invalid_and_missing_report_files_give_one_message_each(tmp_path, capsys):
     path = tmp_path / "report.txt"
     path.write_text("nothing of the kind")
     assert main([str(path)]) == 2
--- a/tests/test_cells.py
+++ b/tests/test_cells.py
@@ -1,4 +1,4 @@
-"""Hosts outside a deployment's cell serve its callers all the same."""
+"""Hosts outside a deployment's cell serve its callers too."""
 
 import asyncio
 
@@ -11,12 +11,11 @@
 PROMPT = "a contract bundle of many pages"
 
 
-def test_a_caller_at_a_host_outside_the_cell_is_served():
-    """A caller that keeps an old address would be turned away.
+def test_host_outside_the_cell_serves_callers():
+    """Guards against refusing callers that use an outdated address.
 
-    The deployment's cell is one host of three; the caller comes to each of them,
-    with work that may be repeated and with work that may run once.
-    Cause: a host reads the engines' reports of its own cells only.
+    The deployment's cell is one host of three. The caller sends idempotent and keyed
+    requests to each host. A host reads engine load reports only for its own cells.
     """
 
     async def main():
@@ -24,17 +23,17 @@
             hosts, engines = await fleet.start_system(
                 hosts=3, engines=2, deployment={"cell_hosts": 1}
             )
-            answer = await hosts[0].call(
+            response = await hosts[0].call(
                 "GET", "/v1/entry?deployment=letter-models&zone=suwon-a"
             )
-            assert len(answer.json["hosts"]) == 1
+            assert len(response.json["hosts"]) == 1
             for host in hosts:
-                answer = await host.complete(PROMPT, 8, stream=True)
-                assert answer.text == expected_text(PROMPT, 8)
+                response = await host.complete(PROMPT, 8, stream=True)
+                assert response.text == expected_text(PROMPT, 8)
                 key = await host.mint_key()
                 prompt = f"{PROMPT} {host.name}"
-                answer = await host.complete(prompt, 8, {"Idempotency-Key": key})
-                assert answer.text == expected_text(prompt, 8)
+                response = await host.complete(prompt, 8, {"Idempotency-Key": key})
+                assert response.text == expected_text(prompt, 8)
                 assert await fleet.count_runs(prompt, engines) == 1
 
     asyncio.run(main())
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -1,4 +1,4 @@
-"""An accepted configuration is in force everywhere within seconds and never reverts."""
+"""Accepted configurations reach every host within seconds and never revert."""
 
 import asyncio
 
@@ -9,36 +9,36 @@
 
 pytestmark = pytest.mark.processes
 
-SETTLED = "every host to have the newest configuration"
+CONVERGED = "every host to have the newest configuration"
 
 
 def ratio_patch(ratio):
-    """Return a patch that changes one harmless number."""
+    """Return a patch that changes only the retry ratio."""
     return {"deployments": {"letter-models": {"retry_ratio": ratio}}}
 
 
-async def number_of(host):
+async def config_number(host):
     return (await host.status())["config_number"]
 
 
-async def document_of(host):
+async def config_document(host):
     return (await host.admin("GET", "/config")).json
 
 
-async def ratio_of(host):
-    document = (await document_of(host))["document"]
+async def retry_ratio_of(host):
+    document = (await config_document(host))["document"]
     return document["deployments"]["letter-models"]["retry_ratio"]
 
 
 async def wait_for_number(hosts, number):
-    async def all_have_it():
-        return [await number_of(host) for host in hosts] == [number] * len(hosts)
+    async def all_have_number():
+        return [await config_number(host) for host in hosts] == [number] * len(hosts)
 
-    await wait_until(all_have_it, SETTLED)
+    await wait_until(all_have_number, CONVERGED)
 
 
-class NumberWatch:
-    """Notes each host's configuration number; a number that falls is a failure."""
+class ConfigNumberMonitor:
+    """Records each host's configuration numbers and checks that none decreases."""
 
     def __init__(self, hosts):
         self.seen = {host.name: [] for host in hosts}
@@ -46,7 +46,7 @@
         self._task = None
 
     def start(self):
-        self._task = asyncio.create_task(self._watch())
+        self._task = asyncio.create_task(self._poll())
 
     async def stop(self):
         self._task.cancel()
@@ -54,29 +54,29 @@
         for name, numbers in self.seen.items():
             assert numbers == sorted(numbers), (name, numbers)
 
-    async def _watch(self):
+    async def _poll(self):
         while True:
             for host in self._hosts:
                 numbers = self.seen[host.name]
-                number = await number_of(host)
+                number = await config_number(host)
                 if not numbers or numbers[-1] != number:
                     numbers.append(number)
             await asyncio.sleep(0.01)
 
 
-def test_racing_operators():
-    """An operator's change would silently disappear.
+def test_concurrent_patches_lose_no_change():
+    """Guards against silently overwritten configuration changes.
 
     Six operators submit patches against the same number through three hosts at the
-    same time, and again after being told what changed.
-    Cause: the last writer wins.
+    same time, and submit them again after a refusal that reports what changed. If the
+    last write won, the other changes would be lost.
     """
 
     async def run():
         async with Fleet() as fleet:
             hosts, _ = await fleet.start_system(hosts=3, engines=1)
-            watch = NumberWatch(hosts)
-            watch.start()
+            monitor = ConfigNumberMonitor(hosts)
+            monitor.start()
 
             async def operator(index):
                 host = hosts[index % 3]
@@ -85,14 +85,14 @@
                 patch = {"deployments": {"letter-models": weights}}
                 base, refusals = 1, 0
                 while True:
-                    answer = await host.patch(base, patch, f"patch-{index}")
-                    if answer.status == 200:
-                        return answer.json["number"], refusals
-                    assert answer.status == 409, answer
-                    assert answer.error["code"] == "outdated"
-                    assert answer.json["changed_since"]
-                    assert answer.json["number"] > base
-                    base = answer.json["number"]
+                    response = await host.patch(base, patch, f"patch-{index}")
+                    if response.status == 200:
+                        return response.json["number"], refusals
+                    assert response.status == 409, response
+                    assert response.error["code"] == "outdated"
+                    assert response.json["changed_since"]
+                    assert response.json["number"] > base
+                    base = response.json["number"]
                     refusals += 1
 
             results = await asyncio.gather(*(operator(index) for index in range(6)))
@@ -100,8 +100,8 @@
             assert numbers == [2, 3, 4, 5, 6, 7]
             assert sum(refusals for _, refusals in results) >= 5
             await wait_for_number(hosts, 7)
-            await watch.stop()
-            documents = [await document_of(host) for host in hosts]
+            await monitor.stop()
+            documents = [await config_document(host) for host in hosts]
             assert documents[0] == documents[1] == documents[2]
             section = documents[0]["document"]["deployments"]["letter-models"]
             weights = section["tenant_weights"]
@@ -110,12 +110,12 @@
     asyncio.run(run())
 
 
-def test_a_lost_answer_to_an_accepted_patch():
-    """An operator would apply one patch twice, or believe that it was refused.
+def test_repeated_patch_after_a_lost_response_applies_once():
+    """Guards against applying one patch twice, or refusing an accepted one.
 
-    The head's write takes effect and its answer is lost; the operator sends the
-    same patch again, through another host, after a third one has moved on.
-    Cause: a repeated patch that isn't recognised looks outdated or new.
+    The write of the configuration head takes effect but its response is lost. The
+    operator repeats the patch through another host, after a further patch. A repeat
+    has to be recognised by its id, or it looks outdated or new.
     """
 
     async def run():
@@ -132,26 +132,26 @@
             assert again.status == 200, again
             assert again.json["number"] == 2
             await wait_for_number(hosts, 3)
-            assert await ratio_of(hosts[0]) == 0.3
+            assert await retry_ratio_of(hosts[0]) == 0.3
 
     asyncio.run(run())
 
 
-def test_a_host_cut_off_from_the_platform_but_not_from_its_peers():
-    """One host of three would serve by the old configuration for hours.
+def test_host_without_platform_gets_the_configuration_from_peers():
+    """Guards against a host that keeps an outdated configuration.
 
-    It can't reach the platform, and a patch is accepted through another host.
-    Cause: only the platform tells of new configurations.
+    One host cannot reach the platform, and a patch is accepted through another host.
+    The first host has to get the configuration from its peers.
     """
 
     async def run():
         async with Fleet() as fleet:
             hosts, _ = await fleet.start_system(hosts=3, engines=1)
             await fleet.platform.control(cut_clients=["h1"])
-            answer = await hosts[1].patch(1, ratio_patch(0.2), "patch-a")
-            assert answer.status == 200, answer
+            response = await hosts[1].patch(1, ratio_patch(0.2), "patch-a")
+            assert response.status == 200, response
             await wait_for_number(hosts, 2)
-            assert await ratio_of(hosts[0]) == 0.2
+            assert await retry_ratio_of(hosts[0]) == 0.2
             prompt = "a letter"
             served = await hosts[0].complete(prompt, 8)
             assert served.text == expected_text(prompt, 8)
@@ -159,11 +159,11 @@
     asyncio.run(run())
 
 
-def test_a_host_cut_off_from_the_platform_and_its_peers():
-    """One host would go on by a configuration that operators think replaced.
+def test_host_without_platform_and_peers_refuses_requests():
+    """Guards against serving with a configuration that has been replaced.
 
-    It reaches neither the platform nor most of the other hosts.
-    Cause: it can't know which configuration is in force.
+    A host reaches neither the platform nor most of its peers, so it cannot know which
+    configuration is in force.
     """
 
     async def run():
@@ -202,150 +202,152 @@
     asyncio.run(run())
 
 
-def test_a_host_restarted_while_the_platform_is_down():
-    """A replaced host would stand idle, or start with an old configuration.
+def test_host_restarted_during_an_outage_asks_its_peers():
+    """Guards against a restarted host that is idle or uses an old configuration.
 
-    The platform goes down after a patch; a host is replaced and asks its peers.
-    Cause: hosts keep nothing, and the platform doesn't answer.
+    The platform goes down after a patch, and a host is restarted. Hosts store nothing
+    on disk, so it has to get the configuration from its peers.
     """
 
     async def run():
         async with Fleet() as fleet:
             hosts, _ = await fleet.start_system(hosts=2, engines=1)
-            answer = await hosts[0].patch(1, ratio_patch(0.2), "patch-a")
-            assert answer.status == 200
+            response = await hosts[0].patch(1, ratio_patch(0.2), "patch-a")
+            assert response.status == 200
             await wait_for_number(hosts, 2)
             await fleet.platform.control(outage=True)
             port = int(hosts[0].addresses["peers"].rsplit(":", 1)[1])
             hosts[0].kill()
-            lone = await fleet.start_host("h9")
-            refused = await lone.complete("a letter", 8)
+            isolated = await fleet.start_host("h9")
+            refused = await isolated.complete("a letter", 8)
             assert refused.error["code"] == "not_ready"
             assert refused.error["run"] == "no"
-            reborn = await fleet.start_host("h1", peers={"port": port})
+            restarted = await fleet.start_host("h1", peers={"port": port})
 
-            async def has_it():
-                return await number_of(reborn) == 2
+            async def has_number():
+                return await config_number(restarted) == 2
 
-            await wait_until(has_it, "the restarted host to hear from its peer")
+            await wait_until(
+                has_number, "the restarted host to receive the state of its peer"
+            )
             await fleet.platform.control(outage=False)
-            await wait_for_number([reborn, lone, hosts[1]], 2)
+            await wait_for_number([restarted, isolated, hosts[1]], 2)
 
     asyncio.run(run())
 
 
-def test_a_patch_during_an_outage():
-    """An operator would be told "accepted" of a patch that nobody keeps.
+def test_patch_during_an_outage_is_refused():
+    """Guards against accepting a patch that is not stored.
 
-    The platform is down; the patch is refused in so many words, and nothing of it
-    is in force on any host, then or later.
-    Cause: a host that takes a patch for itself before the platform has it.
+    The platform is down, so the patch has to be refused and must never be in force on
+    any host. A host that applied a patch before storing it would break that.
     """
 
     async def run():
         async with Fleet() as fleet:
             hosts, _ = await fleet.start_system(hosts=2, engines=1)
             await fleet.platform.control(outage=True)
-            answer = await hosts[0].patch(1, ratio_patch(0.2), "patch-a")
-            assert answer.status == 503, answer
-            assert answer.error["code"] in {"unavailable", "unknown_outcome"}
+            response = await hosts[0].patch(1, ratio_patch(0.2), "patch-a")
+            assert response.status == 503, response
+            assert response.error["code"] in {"unavailable", "unknown_outcome"}
             await fleet.platform.control(outage=False)
 
             async def is_accepted():
-                answer = await hosts[1].patch(1, ratio_patch(0.3), "patch-b")
-                return answer.status == 200
+                response = await hosts[1].patch(1, ratio_patch(0.3), "patch-b")
+                return response.status == 200
 
-            await wait_until(is_accepted, "the platform to be back")
+            await wait_until(is_accepted, "a patch to be accepted after the outage")
             await wait_for_number(hosts, 2)
             for host in hosts:
-                assert await ratio_of(host) == 0.3
+                assert await retry_ratio_of(host) == 0.3
 
     asyncio.run(run())
 
 
-def test_a_late_head_write_never_reverts_a_newer_one():
-    """A configuration that was replaced would come back into force.
+def test_delayed_head_write_reverts_nothing():
+    """Guards against a delayed write that reverts a newer configuration.
 
-    A host's head write is held on its way; another operator's patch is accepted
-    meanwhile, and then the late write arrives.
-    Cause: an unconditional write.
+    A host's write of the head is delayed. Another patch is accepted meanwhile, and
+    then the delayed write arrives. An unconditional write would take effect.
     """
 
     async def run():
         async with Fleet() as fleet:
             hosts, _ = await fleet.start_system(hosts=2, engines=1)
-            watch = NumberWatch(hosts)
-            watch.start()
+            monitor = ConfigNumberMonitor(hosts)
+            monitor.start()
             await fleet.platform.control(hang_clients=["h1"], hang_kind="config")
-            late = asyncio.create_task(hosts[0].patch(1, ratio_patch(0.2), "patch-a"))
+            delayed = asyncio.create_task(
+                hosts[0].patch(1, ratio_patch(0.2), "patch-a")
+            )
 
             async def is_held():
                 return (await fleet.platform.counters())["held"].get("config", 0)
 
             await wait_until(is_held, "a held write")
-            answer = await hosts[1].patch(1, ratio_patch(0.3), "patch-b")
-            assert answer.status == 200
+            response = await hosts[1].patch(1, ratio_patch(0.3), "patch-b")
+            assert response.status == 200
             await fleet.platform.control(hang_clients=[])
-            assert (await late).status != 200
+            assert (await delayed).status != 200
             await wait_for_number(hosts, 2)
             for host in hosts:
-                assert await ratio_of(host) == 0.3
-            await watch.stop()
+                assert await retry_ratio_of(host) == 0.3
+            await monitor.stop()
 
     asyncio.run(run())
 
 
-def test_a_platform_that_answers_from_an_old_copy():
-    """A configuration that was replaced would come back into force.
+def test_old_head_restored_on_the_platform_reverts_nothing():
+    """Guards against reverting to an older configuration restored on the platform.
 
-    The platform's keepers restore an old copy of the head after two more patches.
-    Cause: hosts that take whatever the platform says.
+    The platform's operators restore an old copy of the head after two more patches.
+    Hosts must not apply a number lower than their own.
     """
 
     async def run():
         async with Fleet() as fleet:
             hosts, _ = await fleet.start_system(hosts=2, engines=1)
-            watch = NumberWatch(hosts)
-            watch.start()
+            monitor = ConfigNumberMonitor(hosts)
+            monitor.start()
             old = (await fleet.platform.read("config", "head"))["value"]
             for number in (1, 2):
-                answer = await hosts[0].patch(number, ratio_patch(0.2), f"p{number}")
-                assert answer.status == 200, answer
+                response = await hosts[0].patch(number, ratio_patch(0.2), f"p{number}")
+                assert response.status == 200, response
             await wait_for_number(hosts, 3)
             newest = await fleet.platform.read("config", "head")
             await fleet.platform.write("config", "head", old, newest["version"])
             revision = (await fleet.platform.counters())["revision"]
             assert revision > newest["version"]
-            watches = await watches_of(fleet, hosts)
+            watches = await count_watches(fleet, hosts)
 
-            async def have_all_seen_it():
-                now = await watches_of(fleet, hosts)
+            async def all_received_it():
+                now = await count_watches(fleet, hosts)
                 return all(later > earlier for later, earlier in zip(now, watches))
 
-            await wait_until(have_all_seen_it, "every host to see the old head")
-            assert [await number_of(host) for host in hosts] == [3, 3]
-            assert await ratio_of(hosts[0]) == 0.2
-            await watch.stop()
+            await wait_until(all_received_it, "every host to see the old head")
+            assert [await config_number(host) for host in hosts] == [3, 3]
+            assert await retry_ratio_of(hosts[0]) == 0.2
+            await monitor.stop()
 
     asyncio.run(run())
 
 
-async def watches_of(fleet, hosts):
-    """Return how many watches each host has begun; a change ends the present one."""
+async def count_watches(fleet, hosts):
+    """Return how many watches each host has started; each change ends one."""
     calls = (await fleet.platform.counters())["calls"]
     return [calls[host.name]["WATCH"] for host in hosts]
 
 
-def test_a_bad_patch_names_its_problems_and_changes_nothing():
+def test_invalid_patch_reports_its_problems_and_changes_nothing():
     async def run():
         async with Fleet() as fleet:
             hosts, _ = await fleet.start_system(hosts=1, engines=1)
             for patch in (ratio_patch(7), {"deployments": {"letter-models": 3}}):
-                answer = await hosts[0].patch(1, patch, "patch-a")
-                assert answer.status == 422, answer
-                problem = answer.json["problems"][0]
+                response = await hosts[0].patch(1, patch, "patch-a")
+                assert response.status == 422, response
+                problem = response.json["problems"][0]
                 assert problem["path"].startswith("deployments.letter-models")
                 assert problem["mend"]
-            assert await number_of(hosts[0]) == 1
+            assert await config_number(hosts[0]) == 1
 
     asyncio.run(run())
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -1,4 +1,4 @@
-"""A request that crashes engines is refused everywhere; its neighbours are served."""
+"""Requests that crash engines are refused; other requests are served."""
 
 import asyncio
 
@@ -9,15 +9,14 @@
 
 pytestmark = pytest.mark.processes
 
-BAD = "a bundle with a MARK in it"
+CRASHING_PROMPT = "a bundle with a MARK in it"
 
 
-def test_a_request_that_crashes_each_engine():
-    """One bad letter would take the whole fleet down, engine by engine.
+def test_crashing_request_is_refused_on_every_host():
+    """Guards against one request that crashes all engines in turn.
 
-    The request crashes the engine that runs it; its caller sends it again and again
-    through every host.
-    Cause: each retry brings it to the next healthy engine.
+    The request crashes any engine that runs it, and its caller repeats it through
+    every host. Each retry would take it to the next healthy engine.
     """
 
     async def run():
@@ -26,41 +25,43 @@
             for engine in engines:
                 await engine.control(crash_on="MARK", slow_factor=5)
             prompts = [f"an innocent letter {number}" for number in range(15)]
-            neighbours = [
+            other_calls = [
                 asyncio.create_task(hosts[number % 3].complete(prompt, 60))
                 for number, prompt in enumerate(prompts)
             ]
             for number in range(12):
-                answer = await hosts[number % 3].complete(BAD, 8)
-                assert answer.status != 200
-            lost = [engine for engine in engines if engine.exit_code() is not None]
-            assert 1 <= len(lost) <= 2
-            for prompt, task in zip(prompts, neighbours):
-                answer = await task
-                assert answer.text == expected_text(prompt, 60), answer
-
-            async def convicted_everywhere():
+                response = await hosts[number % 3].complete(CRASHING_PROMPT, 8)
+                assert response.status != 200
+            crashed = [engine for engine in engines if engine.exit_code() is not None]
+            assert 1 <= len(crashed) <= 2
+            for prompt, task in zip(prompts, other_calls):
+                response = await task
+                assert response.text == expected_text(prompt, 60), response
+
+            async def all_convicted():
                 for host in hosts:
-                    answer = await host.complete(BAD, 8)
-                    if answer.error.get("code") != "crashing_request":
+                    response = await host.complete(CRASHING_PROMPT, 8)
+                    if response.error.get("code") != "crashing_request":
                         return False
                 return True
 
-            await wait_until(convicted_everywhere, "a conviction on every host")
+            await wait_until(all_convicted, "a conviction on every host")
             for host in hosts:
-                answer = await host.complete(BAD, 8)
-                assert answer.status == 422
+                response = await host.complete(CRASHING_PROMPT, 8)
+                assert response.status == 422
                 assert len((await host.status())["convictions"]) == 1
-            assert len([e for e in engines if e.exit_code() is not None]) == len(lost)
+            assert len([e for e in engines if e.exit_code() is not None]) == len(
+                crashed
+            )
 
     asyncio.run(run())
 
 
-def test_engines_that_die_on_their_own_convict_no_innocent_request():
-    """A tenant's letter would never be answered again because of a power cut.
+def test_engine_failures_convict_no_harmless_request():
+    """Guards against refusing harmless requests after engine failures.
 
-    Two engines are withdrawn without notice, one after the other, under load.
-    Cause: whatever ran on a lost engine is taken for guilty.
+    Two engines are killed under load. If every request on a failed engine counted as
+    the cause, harmless requests would be refused from then on.
     """
 
     async def run():
@@ -85,20 +86,20 @@
             for prompt in prompts:
 
                 async def is_answered(prompt=prompt):
-                    answer = await hosts[0].complete(prompt, 60)
-                    return answer.status == 200
+                    response = await hosts[0].complete(prompt, 60)
+                    return response.status == 200
 
-                await wait_until(is_answered, f"an answer to {prompt}")
+                await wait_until(is_answered, f"a response to {prompt}")
 
     asyncio.run(run())
 
 
-def test_a_given_up_request_is_answered_at_once_with_when_to_come_back():
-    """A caller would wait out its whole deadline for a refusal.
+def test_overload_is_refused_immediately_with_retry_after():
+    """Guards against refusals that are delayed until the deadline.
 
-    A slow engine gets far more work than it can do by the deadlines; one short
-    request before the others takes it some seconds.
-    Cause: a queue that keeps what it can't serve.
+    A slow engine gets far more requests than it can finish by their deadlines, after
+    one short request that takes some seconds. A queue that keeps requests it cannot
+    serve in time would refuse them only at their deadline.
     """
 
     async def run():
@@ -114,7 +115,7 @@
             done, running = await asyncio.wait(
                 {short, *calls}, return_when=asyncio.FIRST_COMPLETED
             )
-            # The first answer of all is a refusal, before even the short work ends.
+            # The first response is a refusal, sent before the short request finishes.
             assert short not in done
             refusal = next(iter(done)).result()
             assert refusal.status == 429, refusal
--- a/tests/test_daemon_process.py
+++ b/tests/test_daemon_process.py
@@ -1,4 +1,4 @@
-"""A live daemon starts no process and opens no io_uring or shared memory."""
+"""A running daemon starts no child process and uses no io_uring or shared memory."""
 
 import asyncio
 import os
@@ -29,7 +29,7 @@
     return targets
 
 
-def test_daemon_under_load_has_no_child_no_ring_no_shared_memory():
+def test_daemon_under_load_has_no_child_process_io_uring_or_shared_memory():
     async def main():
         async with Fleet() as fleet:
             hosts, _ = await fleet.start_system(hosts=2, engines=1)
@@ -42,23 +42,23 @@
                 assert not [t for t in descriptors_of(host.pid) if "io_uring" in t]
                 maps = pathlib.Path(f"/proc/{host.pid}/maps").read_text()
                 assert "/dev/shm" not in maps and "/SYSV" not in maps
-            answers = await asyncio.gather(*running)
-            assert all(answer.status == 200 for answer in answers)
+            responses = await asyncio.gather(*running)
+            assert all(response.status == 200 for response in responses)
             for host in hosts:
                 assert await host.terminate_and_wait() == 0
 
     asyncio.run(main())
 
 
-def test_bad_settings_end_with_a_message_and_code_2(tmp_path):
+def test_invalid_settings_exit_with_a_message_and_code_2(tmp_path):
     path = tmp_path / "bad.yaml"
     path.write_text("host: {name: h1, zone: z}\ncallers: {port: -1}\n")
-    done = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, "-m", "gypsumusher_daemon", "--settings", str(path)],
         capture_output=True,
         text=True,
         timeout=60,
     )
-    assert done.returncode == 2
-    assert "callers.port: -1 is outside" in done.stderr
-    assert "Traceback" not in done.stderr
+    assert completed.returncode == 2
+    assert "callers.port: -1 is outside" in completed.stderr
+    assert "Traceback" not in completed.stderr
--- a/tests/test_demo.py
+++ b/tests/test_demo.py
@@ -1,4 +1,4 @@
-"""The demo's whole path, shortened: it ends well, and fails when an answer is wrong."""
+"""The demo, shortened: it passes, and fails if a response is wrong."""
 
 import asyncio
 
@@ -19,12 +19,12 @@
 
 
 @pytest.mark.processes
-def test_the_whole_path_serves_both_deployments_and_stops_with_nothing_cut(capsys):
-    """A host is replaced while callers use it.
+def test_demo_serves_both_deployments_and_truncates_nothing(capsys):
+    """Guards against callers that notice the replacement of a host.
 
-    One of three hosts gets SIGTERM in the middle of the load. It leaves the entry
-    answers, ends its streams and exits; no caller may see a cut, lost or doubled
-    answer, and each process ends with code 0.
+    One of three hosts gets SIGTERM under load. It leaves the entry responses,
+    completes its streams and exits. No response may be truncated, lost or duplicated,
+    and each process has to exit with code 0.
     """
     assert run_short(expected_text) == 0
     output = capsys.readouterr().out
@@ -34,7 +34,7 @@
 
 
 @pytest.mark.processes
-def test_an_answer_that_is_not_the_request_s_own_fails_the_demo(capsys):
+def test_response_of_another_request_fails_the_demo(capsys):
     def wrong_for_some(prompt, tokens):
         text = expected_text(prompt, tokens)
         return text if tokens > 5 else f"{text} and more"
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -1,4 +1,4 @@
-"""The docs name the commands, settings, metrics and log events that the code has."""
+"""The docs list the commands, settings, metrics and log events of the code."""
 
 import ast
 import gc
@@ -33,14 +33,14 @@
 
 
 def code_lines(path):
-    """Yield the shell lines of a page's code blocks, continued lines joined."""
+    """Yield the shell lines of a page's code blocks, with continuation lines joined."""
     blocks = re.findall(r"```sh\n(.*?)```", path.read_text(), re.DOTALL)
     for block in blocks:
         yield from block.replace("\\\n", " ").splitlines()
 
 
 def split_command(words):
-    """Return the command's name and the rest of its words."""
+    """Return the command's name and its remaining words."""
     for length in (2, 1):
         name = " ".join(words[:length])
         if name in COMMANDS_BY_NAME:
@@ -48,13 +48,13 @@
     return " ".join(words[:1]), words[1:]
 
 
-def test_each_command_has_its_page_and_each_page_its_command():
+def test_commands_and_command_pages_match():
     pages = {path.name for path in (DOCS / "commands").glob("*.md")}
     wanted = {page_of(name).name for name in COMMANDS_BY_NAME}
     assert pages - {"README.md"} == wanted
 
 
-def test_a_command_s_page_names_all_its_arguments_and_options_and_no_other():
+def test_command_page_lists_exactly_its_arguments_and_options():
     for name, command in COMMANDS_BY_NAME.items():
         text = page_of(name).read_text()
         rows = set(re.findall(r"^\| `([\w-]+)` \|", text, re.MULTILINE))
@@ -64,7 +64,7 @@
         assert arguments <= rows, name
 
 
-def test_every_command_line_in_the_docs_uses_commands_and_options_that_exist():
+def test_command_lines_in_the_docs_use_existing_commands_and_options():
     seen = set()
     for page in PAGES:
         for line in code_lines(page):
@@ -108,7 +108,7 @@
     return "| " + " | ".join(cells) + " |"
 
 
-def test_the_settings_table_is_the_code_s():
+def test_settings_table_matches_the_code():
     rows = re.findall(r"^\| `\w+\.\w+` \|.*$", OPERATING, re.MULTILINE)
     assert rows == [settings_row(setting) for setting in SETTINGS]
 
@@ -126,7 +126,7 @@
         gc.enable()
 
 
-def test_the_configuration_s_keys_stand_on_the_operators_page():
+def test_configuration_keys_match_the_operators_page():
     section = OPERATING.split("## Configuration")[1].split("\n## ")[0]
     rows = re.findall(r"^\| ([a-z_, ]+) \|", section, re.MULTILINE)
     documented = {key.strip() for row in rows for key in row.split(",")}
@@ -135,7 +135,7 @@
 
 
 def literal_arguments(function_names, position):
-    """Return one positional argument's literals in the daemon's calls of functions."""
+    """Return the constants at a position in the daemon's calls of some functions."""
     found = set()
     for path in sorted(DAEMON.glob("*.py")):
         for node in ast.walk(parse_without_gc(path)):
@@ -148,14 +148,14 @@
     return found
 
 
-def test_every_metric_stands_on_the_operators_page():
+def test_metrics_match_the_operators_page():
     names = literal_arguments({"_add"}, 1) | literal_arguments({"_add_histogram"}, 0)
     documented = set(re.findall(r"`(gypsumusher_\w+)`", OPERATING))
     assert names
     assert documented == {f"gypsumusher_{name}" for name in names}
 
 
-def test_every_log_event_stands_on_the_operators_page():
+def test_log_events_match_the_operators_page():
     events = literal_arguments({"log", "_log"}, 1)
     section = OPERATING.split("## Log events")[1].split("\n## ")[0]
     documented = set(re.findall(r"^\| `(\w+)` \|", section, re.MULTILINE))
@@ -163,7 +163,7 @@
     assert documented == events
 
 
-def test_every_refusal_stands_on_the_callers_page_with_its_status():
+def test_refusal_codes_and_statuses_match_the_callers_page():
     text = (DOCS / "CALLERS.md").read_text()
     rows = re.findall(r"^\| `(\w+)` \| (\d{3}) \|", text, re.MULTILINE)
     assert {code: int(status) for code, status in rows} == STATUS_BY_CODE
--- a/tests/test_docs_commands.py
+++ b/tests/test_docs_commands.py
@@ -1,4 +1,4 @@
-"""Every command line of the operators' pages runs as written, on a live system."""
+"""Command lines of the operators' pages run as written on a running system."""
 
 import asyncio
 import os
@@ -13,7 +13,7 @@
 ROOT = pathlib.Path(__file__).resolve().parent.parent
 DOCS = ROOT / "docs"
 COMMAND_TIMEOUT_S = 60
-# Patches stand before what shows them, and reports before their comparison.
+# Patches run before the commands that show them, and reports before `load-compare`.
 PAGE_ORDER = (
     "config-validate",
     "config-patch",
@@ -48,7 +48,7 @@
 
 
 def write_files(folder):
-    """Put the pages' own YAML where their commands look for it."""
+    """Write the YAML examples of the pages to the files that their commands read."""
     operating = DOCS / "OPERATING.md"
     pages = {
         "document.yaml": (DOCS / "INTERFACES.md", "deployments:"),
@@ -63,7 +63,7 @@
 
 
 async def run_line(line, folder, environment):
-    """Run one line in a shell; fail with its output when it fails."""
+    """Run a line in a shell and return its output; on failure, report the output."""
     process = await asyncio.create_subprocess_shell(
         line,
         cwd=folder,
@@ -78,21 +78,21 @@
 
 
 async def start_system(fleet):
-    """Start what the pages name: two hosts, an engine and a plain service."""
+    """Start the processes that the pages use: two hosts, two engines and a service."""
     await fleet.start_platform()
     await fleet.start_engine("engine-1")
     await fleet.start_engine("engine-2")
     await fleet.start_service("counter-1")
     hosts = [await fleet.start_host(name) for name in ("host-a", "host-b")]
 
-    async def all_seen():
+    async def all_known():
         for host in hosts:
             status = await host.status()
             if len(status["endpoints"]) < 3 or len(status["hosts"]) < 2:
                 return False
         return True
 
-    await wait_until(all_seen, "the hosts to see each other and the endpoints")
+    await wait_until(all_known, "the hosts to see each other and the endpoints")
     return hosts
 
 
@@ -115,36 +115,36 @@
         hosts = await start_system(fleet)
         environment = make_environment(hosts)
         for line in command_lines(DOCS / "OPERATING.md"):
-            # The fleet has started the daemons, on loopback addresses; drains and
-            # the status have pages of their own.
+            # The fleet has already started the daemons, on loopback addresses; drain
+            # commands are run from their own pages.
             if line == "gypsumusherd --settings settings.yaml" or "drain" in line:
                 continue
             await run_line(line, folder, environment)
         await wait_until(hosts[0].is_ready, "the first configuration")
         await wait_until(hosts[1].is_ready, "the first configuration")
-        answer = await hosts[0].complete("a letter")
+        response = await hosts[0].complete("a letter")
         key = await hosts[0].mint_key()
-        places = {
-            "REQUEST_ID": answer.headers["Gypsumusher-Request-Id"],
+        placeholders = {
+            "REQUEST_ID": response.headers["Gypsumusher-Request-Id"],
             "KEY": key,
         }
         for name in PAGE_ORDER:
             for line in command_lines(DOCS / "commands" / f"{name}.md"):
-                words = [places.get(word, word) for word in line.split(" ")]
+                words = [placeholders.get(word, word) for word in line.split(" ")]
                 await run_line(" ".join(words), folder, environment)
 
 
 @pytest.mark.processes
 def test_each_documented_command_runs_as_written(tmp_path):
-    """An operator follows the pages from the first configuration on.
+    """Guards against pages that are outdated compared with the code.
 
-    Each line is typed as it stands, in the order of the pages, with the pages' own
-    YAML files. A line that fails, or a file that the system refuses, is a page that
-    has fallen behind the code.
+    Each command line is run unchanged in page order, from the first configuration on,
+    with the YAML examples of the pages. A failing line or a refused file is an
+    outdated page.
     """
     asyncio.run(run_pages(tmp_path))
 
 
-def test_no_page_of_a_command_is_left_out():
+def test_every_command_page_is_run():
     pages = {path.stem for path in (DOCS / "commands").glob("*.md")}
     assert pages - {"README"} == set(PAGE_ORDER)
--- a/tests/test_embed_coordination.py
+++ b/tests/test_embed_coordination.py
@@ -1,4 +1,4 @@
-"""The example of embedding the coordination library runs as its page says."""
+"""The coordination library's embedding example prints the documented output."""
 
 import pathlib
 import runpy
@@ -11,12 +11,12 @@
 )
 
 
-def test_the_example_tells_what_became_of_each_key(capsys):
+def test_example_prints_the_outcome_of_each_key(capsys):
     runpy.run_path(str(EXAMPLE), run_name="__main__")
     granted, sent, other = capsys.readouterr().out.splitlines()
     assert granted.endswith("granted, may be sent")
     assert sent.endswith("unknown") and other.endswith("not_run")
 
 
-def test_the_example_stays_under_60_lines():
+def test_example_is_shorter_than_60_lines():
     assert len(EXAMPLE.read_text().splitlines()) < 60
--- a/tests/test_examples.py
+++ b/tests/test_examples.py
@@ -1,4 +1,4 @@
-"""The libraries run alone, as the page on embedding and its examples say."""
+"""Libraries and embedding examples run without other packages, as documented."""
 
 import importlib
 import inspect
@@ -18,15 +18,17 @@
 
 
 def run_alone(library, *arguments):
-    """Run Python with the standard library and one of ours, and return its output.
+    """Run Python with the standard library and one project library; return the output.
 
-    Without site-packages (-S), an import of anything else fails.
+    Without site-packages (-S), any other import fails.
     """
     env = {**os.environ, "PYTHONPATH": str(ROOT / "libs" / library)}
     command = [sys.executable, "-B", "-S", *map(str, arguments)]
-    done = subprocess.run(command, env=env, capture_output=True, text=True, check=False)
-    assert (done.returncode, done.stderr) == (0, "")
-    return done.stdout
+    completed = subprocess.run(
+        command, env=env, capture_output=True, text=True, check=False
+    )
+    assert (completed.returncode, completed.stderr) == (0, "")
+    return completed.stdout
 
 
 def lines_about(output, name):
@@ -34,11 +36,11 @@
 
 
 @pytest.mark.parametrize("library", LIBRARIES)
-def test_each_library_is_imported_with_the_standard_library_alone(library):
+def test_libraries_need_only_the_standard_library(library):
     run_alone(library, "-c", f"import gypsumusher_{library}")
 
 
-def test_the_policy_example_places_retries_queues_and_refuses():
+def test_policy_example_starts_retries_queues_and_refuses():
     output = run_alone("policy", EXAMPLES / "embed_policy.py")
     (early,) = lines_about(output, "early")
     assert early.endswith("refuse early: no_endpoint, run=no")
@@ -54,7 +56,7 @@
     assert burst[-1] == "refuse burst-19: overloaded, run=no"
 
 
-def test_the_coordination_example_tells_a_dead_home_s_keys_apart():
+def test_coordination_example_distinguishes_keys_of_a_failed_owner():
     output = run_alone("coordination", EXAMPLES / "embed_coordination.py")
     granted, sent, other = output.splitlines()
     assert granted.endswith(": granted, may be sent")
@@ -62,29 +64,29 @@
     assert sent.split(":")[0] == granted.split(":")[0]
 
 
-def test_a_paused_home_that_is_sealed_out_grants_nothing():
-    """A booking is denied by a survivor, and the paused home must not send it after.
+def test_paused_owner_with_a_sealed_journal_grants_nothing():
+    """Guards against sending a request after another host reported "not run".
 
-    A home claims a key and is paused before its write leaves. A survivor seals its
-    journal and tells the caller "not run". The home wakes up, its write goes out, and
+    An owner claims a key and is paused before it sends its journal write. A surviving
+    host seals the journal and reports "not run". The owner resumes and sends the write;
     it must refuse this key and all later ones.
     """
     output = run_alone("coordination", EXAMPLES / "embed_paused_home.py")
-    _, survivor, woken, sealed_out, later = output.splitlines()
+    _, survivor, resumed, sealed_out, later = output.splitlines()
     assert survivor.endswith("a survivor says not_run")
-    assert woken.endswith("the home wakes up, ClaimRefused no")
+    assert resumed.endswith("the home wakes up, ClaimRefused no")
     assert sealed_out == "the home is sealed out: True"
     assert later.endswith(": ClaimRefused no")
     assert "ClaimGranted" not in output
 
 
-def test_each_example_stays_under_60_lines():
+def test_examples_are_shorter_than_60_lines():
     for path in EXAMPLES.glob("*.py"):
         assert len(path.read_text().splitlines()) < 60, path.name
 
 
 def public_row(package, name):
-    """Return a public name's row, with the first paragraph of its docstring."""
+    """Return a public name's table row with the first paragraph of its docstring."""
     value = getattr(package, name)
     purpose = "Constant."
     if isinstance(value, types.UnionType):
@@ -97,9 +99,9 @@
 
 
 @pytest.mark.parametrize("library", LIBRARIES)
-def test_the_page_s_table_has_each_public_name_and_no_other(library):
+def test_table_on_the_page_lists_exactly_the_public_names(library):
     package = importlib.import_module(f"gypsumusher_{library}")
     section = PAGE.split(f"### `gypsumusher_{library}`")[1].split("\n#")[0]
     rows = re.findall(r"^\| `.*$", section, re.MULTILINE)
-    wanted = [public_row(package, name) for name in sorted(package.__all__)]
-    assert rows == wanted, "\n" + "\n".join(wanted)
+    expected = [public_row(package, name) for name in sorted(package.__all__)]
+    assert rows == expected, "\n" + "\n".join(expected)
--- a/tests/test_key_rotation.py
+++ b/tests/test_key_rotation.py
@@ -1,4 +1,4 @@
-"""The peers' keys and the operators' token are replaced without a stop."""
+"""Peer keys and the operators' token are replaced without a restart."""
 
 import asyncio
 import os
@@ -13,25 +13,25 @@
 NEW = {"id": "k2", "secret": "another secret of the test hosts"}
 
 
-def reloads_of(host):
+def count_reloads(host):
     return host.log_text().count("event=settings_reloaded")
 
 
-async def reload_with(fleet, host, **changes):
-    """Rewrite a host's settings, send SIGHUP, and wait until they are taken."""
+async def reload_settings(fleet, host, **changes):
+    """Rewrite a host's settings, send SIGHUP, and wait until they are reloaded."""
     path = next(fleet.folder.glob(f"{host.name}-*.yaml"))
     settings = yaml.safe_load(path.read_text())
     for key, value in changes.items():
         section, name = key.split("__")
         settings[section][name] = value
     path.write_text(yaml.safe_dump(settings))
-    before = reloads_of(host)
+    before = count_reloads(host)
     os.kill(host.pid, signal.SIGHUP)
 
     async def is_reloaded():
-        return reloads_of(host) > before
+        return count_reloads(host) > before
 
-    await wait_until(is_reloaded, "the settings to be read again")
+    await wait_until(is_reloaded, "the settings to be reloaded")
 
 
 async def wait_until_all_live(hosts):
@@ -46,11 +46,11 @@
 
 
 def test_key_rotation_in_three_steps_while_requests_run():
-    """A rotation of the secret would part the hosts, and each would suspect all.
+    """Guards against hosts that suspect each other during a key rotation.
 
-    Operators add the new key behind the old one on each host, then put it first,
-    then take the old one away, while callers' requests run on.
-    Cause: a host that signs with a key that another one doesn't know yet.
+    On each host, operators append the new key, then move it to the front, then remove
+    the old one, while callers send requests. Skipping a step makes a host sign with a
+    key that its peers do not know yet.
     """
 
     async def main():
@@ -58,24 +58,24 @@
             hosts, _ = await fleet.start_system(hosts=2, engines=1)
             for keys in ([OLD, NEW], [NEW, OLD], [NEW]):
                 for host in hosts:
-                    await reload_with(fleet, host, peers__keys=keys)
+                    await reload_settings(fleet, host, peers__keys=keys)
                     assert (await hosts[0].complete("a check", 4)).status == 200
                 await wait_until_all_live(hosts)
             key = await hosts[0].mint_key()
-            answer = await hosts[1].complete("b", 4, {"Idempotency-Key": key})
-            assert answer.status == 200
+            response = await hosts[1].complete("b", 4, {"Idempotency-Key": key})
+            assert response.status == 200
             for host in hosts:
                 assert "host_suspected" not in host.log_text()
 
     asyncio.run(main())
 
 
-def test_token_is_replaced_and_other_settings_are_named():
+def test_reload_replaces_the_token_and_logs_settings_that_need_a_restart():
     async def main():
         async with Fleet() as fleet:
             hosts, _ = await fleet.start_system(hosts=1, engines=1)
             host = hosts[0]
-            await reload_with(
+            await reload_settings(
                 fleet,
                 host,
                 operators__token="a-new-operators-token",
@@ -87,7 +87,7 @@
     asyncio.run(main())
 
 
-def test_bad_file_changes_nothing():
+def test_reload_of_an_invalid_file_changes_nothing():
     async def main():
         async with Fleet() as fleet:
             hosts, _ = await fleet.start_system(hosts=1, engines=1)
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -1,4 +1,4 @@
-"""The workspace keeps its layout: decision logic imports no input or output."""
+"""Layout of the workspace and import restrictions of its packages."""
 
 import ast
 import gc
@@ -33,13 +33,13 @@
             yield node.module.split(".")[0]
 
 
-def test_decision_logic_does_no_input_or_output():
+def test_decision_logic_imports_no_io_modules():
     for library in ("policy", "coordination", "routing", "ports"):
         for path in (ROOT / "libs" / library).glob("gypsumusher_*/*.py"):
             assert not BANNED & set(imported_modules(path)), path
 
 
-# Names that only the adapter of the users' platform may know.
+# Wire names that only the adapter for the users' platform may contain.
 WIRE_NAMES = (
     "X-Gypsumusher-",
     "x-gypsumusher-",
@@ -55,40 +55,41 @@
     "/v1/resolve",
     "/v1/readyz",
 )
-# The product's own field names that begin as one on the wire does.
-OWN_NAMES = ("kv_tokens", "kv_token_bytes", "kv_source", "kv_fetch", "path_prefix")
+# Internal field names that equal a wire name or start like one.
+INTERNAL_NAMES = ("kv_tokens", "kv_token_bytes", "kv_source", "kv_fetch", "path_prefix")
 
 
-def test_only_the_adapter_knows_the_platform_s_names():
-    # A name of the wire that spreads has to be changed everywhere when the wire does,
-    # and is decoded twice, in two ways, long before.
+def test_only_the_adapter_contains_wire_names():
+    # A wire name used elsewhere has to be changed in every place when the protocol
+    # changes, and leads to a second, different decoder for the same field.
     for library in ("ports", "routing", "entry", "process", "http"):
         for path in (ROOT / "libs" / library).glob("gypsumusher_*/*.py"):
             text = path.read_text()
-            for name in OWN_NAMES:
+            for name in INTERNAL_NAMES:
                 text = text.replace(name, "")
             found = [name for name in WIRE_NAMES if name in text]
             assert not found, (path, found)
 
 
-# What the adapter may use of the product: types, and the means of making a call.
-ADAPTER_USES = ("gypsumusher_platform", "gypsumusher_ports", "gypsumusher_http")
+# The adapter may import only types and the library that makes HTTP calls.
+ADAPTER_IMPORTS = ("gypsumusher_platform", "gypsumusher_ports", "gypsumusher_http")
 
 
-def test_the_adapter_is_small_and_decides_nothing():
+def test_adapter_is_small_and_imports_no_decision_logic():
     lines = 0
     for path in (ROOT / "platform" / "gypsumusher_platform").glob("*.py"):
         lines += len(path.read_text().splitlines())
         for name in imported_modules(path):
-            is_own = not name.startswith("gypsumusher_")
-            assert is_own or name in ADAPTER_USES, path
+            is_external = not name.startswith("gypsumusher_")
+            assert is_external or name in ADAPTER_IMPORTS, path
     assert lines < 2000
 
 
-def test_flat_folders_hold_no_two_modules_of_one_name():
-    """A whole test run imports the bench's module in place of the soak's.
+def test_module_names_are_unique_across_flat_folders():
+    """Guards against importing a module of the same name from another folder.
 
-    Each alone passes: the folders stand on one search path, and the first wins.
+    A full test run would import the bench's module in place of the soak's, although
+    each suite passes alone: all folders are on one search path, and the first wins.
     """
     settings = tomllib.loads((ROOT / "pyproject.toml").read_text())
     folders = settings["tool"]["pytest"]["ini_options"]["pythonpath"]
@@ -100,13 +101,13 @@
     assert len(found) > 20
 
 
-def test_an_entry_host_starts_without_libraries_that_are_slow_to_import():
-    """After the loss of all hosts each waits for its imports before it serves."""
+def test_entry_host_imports_no_slow_libraries():
+    """Guards against slow recovery: a restarted host serves only after its imports."""
     script = (
         "import sys, gypsumusher_entry.cmdline\n"
         "slow = {'aiohttp', 'sanic', 'logbook', 'aioprometheus', 'numpy', 'cleo'}\n"
         "print(*slow & set(sys.modules))"
     )
     command = [sys.executable, "-c", script]
-    done = subprocess.run(command, capture_output=True, text=True, check=True)
-    assert done.stdout.split() == []
+    completed = subprocess.run(command, capture_output=True, text=True, check=True)
+    assert completed.stdout.split() == []
--- a/tests/test_openai_client.py
+++ b/tests/test_openai_client.py
@@ -1,4 +1,4 @@
-"""The stock OpenAI client works by its base URL alone."""
+"""The official OpenAI client works with only its base URL changed."""
 
 import asyncio
 
@@ -12,7 +12,7 @@
 PROMPT = "where does the crew start on monday"
 
 
-def client_of(host):
+def make_client(host):
     return openai.AsyncOpenAI(
         base_url=f"http://{host.addresses['callers']}/v1", api_key="any"
     )
@@ -22,13 +22,13 @@
     async def main():
         async with Fleet() as fleet:
             hosts, _ = await fleet.start_system(hosts=1, engines=1)
-            client = client_of(hosts[0])
+            client = make_client(hosts[0])
             models = await client.models.list()
             assert [model.id for model in models.data] == ["letter-models"]
-            answer = await client.completions.create(
+            response = await client.completions.create(
                 model="letter-models", prompt=PROMPT, max_tokens=6
             )
-            assert answer.choices[0].text == expected_text(PROMPT, 6)
+            assert response.choices[0].text == expected_text(PROMPT, 6)
             chat = await client.chat.completions.create(
                 model="letter-models",
                 messages=[{"role": "user", "content": PROMPT}],
@@ -50,11 +50,11 @@
     asyncio.run(main())
 
 
-def test_refusals_raise_the_client_s_own_errors():
+def test_refusals_raise_openai_errors():
     async def main():
         async with Fleet() as fleet:
             hosts, _ = await fleet.start_system(hosts=1, engines=1)
-            client = client_of(hosts[0])
+            client = make_client(hosts[0])
             with pytest.raises(openai.NotFoundError, match="is no deployment"):
                 await client.completions.create(model="none", prompt="x")
             with pytest.raises(openai.BadRequestError, match="max_tokens"):
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -1,4 +1,4 @@
-"""An engine never follows two stewards, nor one that has lost its authority."""
+"""Engines follow one steward at a time, and none whose lease has expired."""
 
 import asyncio
 
@@ -10,11 +10,11 @@
 
 pytestmark = pytest.mark.processes
 
-# Longer than a lease and its takeover, shorter than the engine's limit of 3 s.
-HELD_S = 2.2
+# Longer than a lease and its takeover, shorter than the engine's 3 s order time-out.
+ORDER_HOLD_S = 2.2
 
 
-async def steward_among(hosts):
+async def find_steward(hosts):
     """Wait until one of the hosts holds the deployment's lease; return it."""
 
     async def find():
@@ -28,29 +28,29 @@
 
 
 async def patch_version(host, version):
-    """Put another model version in force through a host."""
+    """Apply a patch for another model version through a host."""
     patch = {"deployments": {"letter-models": {"version": version}}}
 
     async def is_accepted():
         number = (await host.status())["config_number"]
-        answer = await host.patch(number, patch, f"version-{version}")
-        return answer.status == 200
+        response = await host.patch(number, patch, f"version-{version}")
+        return response.status == 200
 
     await wait_until(is_accepted, f"the patch to version {version}")
 
 
-async def version_of(fleet, engine):
+async def loaded_version(fleet, engine):
     """Return the model version that an engine has loaded."""
-    async with fleet.session.get(f"http://{engine.address}/load") as answer:
-        return (await answer.json())["models"][0]["version"]
+    async with fleet.session.get(f"http://{engine.address}/load") as response:
+        return (await response.json())["models"][0]["version"]
 
 
 async def wait_for_version(fleet, engines, version):
-    async def all_have_it():
-        versions = [await version_of(fleet, engine) for engine in engines]
-        return all(seen == version for seen in versions)
+    async def all_have_version():
+        versions = [await loaded_version(fleet, engine) for engine in engines]
+        return all(loaded == version for loaded in versions)
 
-    await wait_until(all_have_it, f"version {version} on every engine")
+    await wait_until(all_have_version, f"version {version} on every engine")
 
 
 async def orders_of(engine):
@@ -58,7 +58,7 @@
 
 
 def assert_no_conflict(orders):
-    """Check that terms never fall and no goal was ordered twice in a row."""
+    """Check that terms never decrease and no goal was completed twice in a row."""
     terms = [order["term"] for order in orders]
     assert terms == sorted(terms), orders
     goals = [order["goal"] for order in orders if order["state"] == "done"]
@@ -67,7 +67,7 @@
 
 
 async def start_behind_proxy(fleet, fencing, order_timeout_s):
-    """Start two hosts and one engine whose orders can be held back."""
+    """Start two hosts and one engine, with a proxy that can hold its orders."""
     await fleet.start_platform()
     section = {
         **DEPLOYMENT,
@@ -87,7 +87,7 @@
 
 
 async def wait_for_new_order(engine, end_s):
-    """Wait until the engine has carried out an order, or until a time."""
+    """Wait until the engine has completed an order, or until `end_s`."""
 
     async def is_ordered():
         orders = await orders_of(engine)
@@ -99,18 +99,18 @@
 
 
 @pytest.mark.parametrize(
-    "fencing, order_timeout_s, is_open_still",
+    "fencing, order_timeout_s, keeps_connection",
     [("refuses", 60.0, False), ("ignores", 1.0, False), ("ignores", 3.0, True)],
 )
-def test_steward_paused_between_its_check_and_its_write(
-    fencing, order_timeout_s, is_open_still
+def test_order_of_a_resumed_steward_reverts_nothing(
+    fencing, order_timeout_s, keeps_connection
 ):
-    """An engine would load version 2 after its new steward had ordered version 3.
+    """Guards against an outdated order that reverts a newer steward's.
 
-    A steward checks its lease, connects and is paused; another takes the lease over
-    and wants version 3; the first wakes and its order arrives, on a connection that
-    the engine has closed by then or still keeps open.
-    Cause: a check before the write says nothing of the moment of the write.
+    A steward checks its lease, connects and is paused. Another host takes over the
+    lease and orders version 3. Then the first one resumes, and its order for version 2
+    arrives on a connection that the engine has closed or still keeps open. A lease
+    check before the write does not hold at the time of the write.
     """
 
     async def run():
@@ -118,18 +118,18 @@
             hosts, engine, proxy = await start_behind_proxy(
                 fleet, fencing, order_timeout_s
             )
-            first = await steward_among(hosts)
+            first = await find_steward(hosts)
             second = hosts[1] if first is hosts[0] else hosts[0]
             proxy.holds_orders = True
             await patch_version(second, "2")
             await asyncio.wait_for(proxy.held.wait(), 10)
-            end_s = asyncio.get_running_loop().time() + HELD_S
+            end_s = asyncio.get_running_loop().time() + ORDER_HOLD_S
             proxy.holds_orders = False
             first.pause()
             assert await orders_of(engine) == []
-            await steward_among([second])
+            await find_steward([second])
             await patch_version(second, "3")
-            if is_open_still:
+            if keeps_connection:
                 await wait_for_new_order(engine, end_s)
             else:
                 await wait_for_version(fleet, [engine], "3")
@@ -137,15 +137,17 @@
             proxy.released.set()
             first.resume()
 
-            async def both_agree():
+            async def are_current():
                 numbers = [(await h.status())["config_number"] for h in hosts]
                 return numbers == [3, 3]
 
-            await wait_until(both_agree, "the first steward to be back")
+            await wait_until(
+                are_current, "the first steward to apply the configuration"
+            )
             await wait_for_version(fleet, [engine], "3")
             orders = await orders_of(engine)
             assert_no_conflict(orders)
-            if not is_open_still:
+            if not keeps_connection:
                 assert orders == before
             await proxy.close()
 
@@ -153,11 +155,11 @@
 
 
 @pytest.mark.parametrize("fencing", ["refuses", "ignores"])
-def test_steward_killed_in_the_middle_of_a_rollout(fencing):
-    """An engine would be ordered twice, or stay unavailable for ever.
+def test_steward_killed_during_a_rollout(fencing):
+    """Guards against duplicate orders and engines that stay unavailable.
 
-    The steward dies between an order and its end; another one takes over.
-    Cause: the new steward doesn't know which orders are on their way.
+    The steward is killed between an order and its completion, and another host takes
+    over without knowing which orders are in flight.
     """
 
     async def run():
@@ -173,7 +175,7 @@
                 *(fleet.start_host(name) for name in ("h1", "h2"))
             )
             await fleet.wait_until_served(hosts, 2)
-            first = await steward_among(hosts)
+            first = await find_steward(hosts)
             second = hosts[1] if first is hosts[0] else hosts[0]
             await patch_version(second, "2")
 
@@ -191,17 +193,17 @@
     asyncio.run(run())
 
 
-def test_lost_answers_to_orders_and_their_intents():
-    """An engine would load the same version twice, away for twice the time.
+def test_lost_responses_to_orders_and_their_intents():
+    """Guards against loading one version twice on an engine.
 
-    The answers to an intent's write and to the order itself are lost.
-    Cause: a repeat under a new id is a second order to the engine.
+    The responses to the intent's write and to the order itself are lost. A repeat
+    under a new id would be a second order to the engine.
     """
 
     async def run():
         async with Fleet() as fleet:
             hosts, engines = await fleet.start_system(hosts=1, engines=2)
-            await steward_among(hosts)
+            await find_steward(hosts)
             await fleet.platform.control(lose_answers=2, lose_kind="orders")
             for engine in engines:
                 await engine.control(lose_order_answers=2)
@@ -215,17 +217,17 @@
     asyncio.run(run())
 
 
-def test_lost_answers_to_lease_renewals():
-    """Two stewards would order the same engines.
+def test_lost_responses_to_lease_renewals_keep_the_steward():
+    """Guards against two stewards for the same engines after lost renewal responses.
 
-    Answers to renewals are lost, several in a row; the holder rereads its lease.
-    Cause: a holder that can't tell its own write from another's gives up or fights.
+    Several responses in a row are lost, and the holder rereads its lease. A holder
+    that cannot tell its own write from another's gives up the lease or contests it.
     """
 
     async def run():
         async with Fleet() as fleet:
             hosts, _ = await fleet.start_system(hosts=2, engines=1)
-            first = await steward_among(hosts)
+            first = await find_steward(hosts)
             term = (await first.status())["stewards"][0]["term"]
             await fleet.platform.control(lose_answers=4, lose_kind="leases")
 
@@ -235,29 +237,29 @@
                 settings = (await fleet.platform.counters())["settings"]
                 return settings["lose_answers"] == 0
 
-            await wait_until(all_lost, "the answers to be lost")
-            holder = await steward_among(hosts)
+            await wait_until(all_lost, "the responses to be lost")
+            holder = await find_steward(hosts)
             assert holder is first
             assert (await first.status())["stewards"][0]["term"] == term
 
     asyncio.run(run())
 
 
-def test_two_stewards_after_a_partition():
-    """Each of two hosts would order the engines by its own view.
+def test_partitioned_steward_sends_no_orders_after_its_lease():
+    """Guards against two hosts that send conflicting orders after a partition.
 
-    The steward is cut off from the platform but not from the engines; another host
-    takes over and a new version is put in force. Then the cut heals.
-    Cause: a holder that trusts its lease beyond its end.
+    The steward loses its connection to the platform but not to the engines. Another
+    host takes over and applies a new version; then the partition ends. A holder must
+    not rely on its lease after its expiry.
     """
 
     async def run():
         async with Fleet() as fleet:
             hosts, engines = await fleet.start_system(hosts=2, engines=2)
-            first = await steward_among(hosts)
+            first = await find_steward(hosts)
             second = hosts[1] if first is hosts[0] else hosts[0]
             await fleet.platform.control(cut_clients=[first.name])
-            await steward_among([second])
+            await find_steward([second])
             assert (await first.status())["stewards"] == []
             await patch_version(second, "2")
             await wait_for_version(fleet, engines, "2")
@@ -274,18 +276,18 @@
     asyncio.run(run())
 
 
-def test_an_engine_that_crashes_in_the_middle_of_a_load():
-    """A replaced engine would serve the old version for ever.
+def test_engine_replaced_after_a_crash_during_a_load():
+    """Guards against a replacement engine that keeps the old version.
 
-    The engine crashes while it loads; another comes up under its name and address
-    list entry, with the old version.
-    Cause: an order that no engine knows any more stays unfinished.
+    The engine crashes while it loads, and a replacement starts under the same name
+    and list entry with the old version. The replacement does not know the order, which
+    would stay unfinished.
     """
 
     async def run():
         async with Fleet() as fleet:
             hosts, engines = await fleet.start_system(hosts=1, engines=2)
-            await steward_among(hosts)
+            await find_steward(hosts)
             await patch_version(hosts[0], "2")
 
             async def is_loading():
@@ -308,17 +310,17 @@
     asyncio.run(run())
 
 
-def test_a_refusing_weight_store_takes_no_engine_out_of_service():
-    """The whole deployment would stop for a weight store that is down.
+def test_failed_loads_take_no_engine_out_of_service():
+    """Guards against a deployment that stops because the weight store is down.
 
-    Every load fails for a while. The engines keep the old version and serve it.
-    Cause: failed orders that are sent again at once, one after the other.
+    All loads fail for a while, and the engines have to keep serving the old version.
+    Failed orders that are repeated immediately would keep them busy loading.
     """
 
     async def run():
         async with Fleet() as fleet:
             hosts, engines = await fleet.start_system(hosts=1, engines=2)
-            await steward_among(hosts)
+            await find_steward(hosts)
             for engine in engines:
                 await engine.control(weight_store_fail=True)
             await patch_version(hosts[0], "2")
@@ -330,8 +332,8 @@
             await wait_until(has_failed, "a failed load")
             for number in range(10):
                 prompt = f"a letter {number}"
-                answer = await hosts[0].complete(prompt, 8)
-                assert answer.text == expected_text(prompt, 8)
+                response = await hosts[0].complete(prompt, 8)
+                assert response.text == expected_text(prompt, 8)
             for engine in engines:
                 await engine.control(weight_store_fail=False)
             await wait_for_version(fleet, engines, "2")
--- a/tests/test_platform_adapter.py
+++ b/tests/test_platform_adapter.py
@@ -1,4 +1,4 @@
-"""Decoding and encoding of the platform's messages, valid and invalid ones."""
+"""Decoding and encoding of valid and invalid platform messages."""
 
 import json
 
--- a/tests/test_platform_store.py
+++ b/tests/test_platform_store.py
@@ -1,4 +1,4 @@
-"""The store's client against a store that refuses calls, hangs or drops history."""
+"""The store's client when the store refuses calls, hangs or discards history."""
 
 import asyncio
 import time
@@ -34,14 +34,14 @@
     async def scenario():
         async with StoreFixture() as fixture:
             client = fixture.client
-            made = (await client.create("locks", "one", {"x": 1})).unwrap()
+            created = (await client.create("locks", "one", {"x": 1})).unwrap()
             assert (
                 await fixture.error_code(client.create("locks", "one", {}))
                 == "conflict"
             )
-            late = client.replace("locks", "one", {"x": 2}, made.revision - 1)
-            assert await fixture.error_code(late) == "conflict"
-            await client.replace("locks", "one", {"x": 2}, made.revision)
+            outdated = client.replace("locks", "one", {"x": 2}, created.revision - 1)
+            assert await fixture.error_code(outdated) == "conflict"
+            await client.replace("locks", "one", {"x": 2}, created.revision)
             assert (await client.get("locks", "one")).unwrap().content == {"x": 2}
             await client.delete("locks", "one")
             assert await fixture.error_code(client.get("locks", "one")) == "absent"
@@ -65,8 +65,8 @@
             fixture.store.forget_history()
             fixture.store.put("servers", "e-2", {})
             fixture.store.forget_history()
-            gone = fixture.client.watch("servers", listing.revision, 1.0)
-            assert await fixture.error_code(gone) == "history_gone"
+            expired_watch = fixture.client.watch("servers", listing.revision, 1.0)
+            assert await fixture.error_code(expired_watch) == "history_gone"
 
     run(scenario())
 
@@ -78,8 +78,8 @@
     async def scenario():
         async with StoreFixture() as fixture:
             fixture.store.fault = "lost"
-            lost = fixture.client.create("locks", "one", {})
-            assert await fixture.error_code(lost) == "unknown"
+            lost_call = fixture.client.create("locks", "one", {})
+            assert await fixture.error_code(lost_call) == "unknown"
             calls = len(fixture.store.calls)
             assert calls == 1
             fixture.store.fault = "refuse"
@@ -98,8 +98,8 @@
 
 def test_large_configuration_is_read_over_a_slow_link():
     # Guards against a host that never gets its configuration. With thousands of routes
-    # and a slow link, each read exceeded a limit on its total time and began anew, so
-    # that the host refused all callers.
+    # and a slow link, each read exceeded its total time limit and started again, so the
+    # host refused all callers.
     async def scenario():
         store = ObjectStore()
         link = Proxy(await store.start())
--- a/tests/test_together.py
+++ b/tests/test_together.py
@@ -1,4 +1,4 @@
-"""Faults of all kinds together and twice: at most once, and "not run" stays true."""
+"""Random combined faults: at-most-once runs and truthful "not run" reports."""
 
 import asyncio
 import random
@@ -12,15 +12,15 @@
 pytestmark = pytest.mark.processes
 
 SEEDS = [1, 2]
-CALLERS = 6
-FAULTS = 14
+CALLER_COUNT = 6
+FAULT_COUNT = 14
 FAULT_PAUSE_S = 0.35
 ATTEMPT_TIMEOUT_S = 2.5
-ATTEMPTS = 4
+ATTEMPT_COUNT = 4
 
 
-class Chaos:
-    """Brings about one fault after the other, from a fixed seed."""
+class FaultInjector:
+    """Injects a sequence of faults chosen from a fixed seed."""
 
     def __init__(self, fleet, hosts, engines, seed):
         self.hosts = hosts
@@ -32,13 +32,13 @@
         kinds = [
             self._pause_host,
             self._replace_host,
-            self._lose_answers,
-            self._delay_answers,
-            self._cut_host,
+            self._lose_responses,
+            self._delay_responses,
+            self._disconnect_host,
             self._outage,
             self._close_engine_connections,
         ]
-        for _ in range(FAULTS):
+        for _ in range(FAULT_COUNT):
             await self._rng.choice(kinds)()
         await self._fleet.platform.control(
             outage=False, cut_clients=[], lose_answers=0, answer_delay_s=0
@@ -56,17 +56,17 @@
         old.kill()
         self.hosts[index] = await self._fleet.start_host(old.name)
 
-    async def _lose_answers(self):
+    async def _lose_responses(self):
         kind = self._rng.choice(["journals", "claims", "leases"])
         await self._fleet.platform.control(lose_answers=2, lose_kind=kind)
         await asyncio.sleep(FAULT_PAUSE_S)
 
-    async def _delay_answers(self):
+    async def _delay_responses(self):
         await self._fleet.platform.control(answer_delay_s=0.3, delay_kind="journals")
         await asyncio.sleep(FAULT_PAUSE_S)
         await self._fleet.platform.control(answer_delay_s=0)
 
-    async def _cut_host(self):
+    async def _disconnect_host(self):
         name = self._rng.choice(self.hosts).name
         await self._fleet.platform.control(cut_clients=[name])
         await asyncio.sleep(FAULT_PAUSE_S * 3)
@@ -83,34 +83,34 @@
         await asyncio.sleep(FAULT_PAUSE_S)
 
 
-class Booking:
-    """One caller's booking: its key and what the caller was told, in order."""
+class KeyedRequest:
+    """One non-idempotent request: its key and the reported outcomes, in order."""
 
     def __init__(self, prompt, key):
         self.prompt = prompt
         self.key = key
-        self.told = []
+        self.outcomes = []
 
 
 class Callers:
-    """Callers that book, and send the same key again until they know."""
+    """Callers that repeat each key until a response or the last attempt."""
 
-    def __init__(self, chaos, seed):
-        self.bookings = []
-        self._chaos = chaos
+    def __init__(self, faults, seed):
+        self.requests = []
+        self._faults = faults
         self._rng = random.Random(seed + 1000)
         self._stopping = False
         self._tasks = []
 
     def start(self):
-        for caller in range(CALLERS):
-            self._tasks.append(asyncio.create_task(self._book_on(caller)))
+        for caller in range(CALLER_COUNT):
+            self._tasks.append(asyncio.create_task(self._send_requests(caller)))
 
     async def stop(self):
         self._stopping = True
         await asyncio.gather(*self._tasks)
 
-    async def _book_on(self, caller):
+    async def _send_requests(self, caller):
         number = 0
         while not self._stopping:
             number += 1
@@ -118,11 +118,11 @@
             if key is None:
                 await asyncio.sleep(0.05)
                 continue
-            booking = Booking(f"crew booking {caller} {number}", key)
-            self.bookings.append(booking)
-            for _ in range(ATTEMPTS):
-                await self._attempt(booking)
-                if booking.told[-1] == "answered":
+            request = KeyedRequest(f"crew booking {caller} {number}", key)
+            self.requests.append(request)
+            for _ in range(ATTEMPT_COUNT):
+                await self._attempt(request)
+                if request.outcomes[-1] == "answered":
                     break
                 await asyncio.sleep(0.1)
 
@@ -131,36 +131,36 @@
             return f"booking-{caller}-{number}"
         try:
             async with asyncio.timeout(ATTEMPT_TIMEOUT_S):
-                answer = await self._rng.choice(self._chaos.hosts).call(
+                response = await self._rng.choice(self._faults.hosts).call(
                     "POST", "/v1/keys"
                 )
         except (aiohttp.ClientError, TimeoutError):
             return None
-        return answer.json["key"] if answer.status == 200 else None
+        return response.json["key"] if response.status == 200 else None
 
-    async def _attempt(self, booking):
-        host = self._rng.choice(self._chaos.hosts)
-        headers = {"Idempotency-Key": booking.key}
+    async def _attempt(self, request):
+        host = self._rng.choice(self._faults.hosts)
+        headers = {"Idempotency-Key": request.key}
         try:
             async with asyncio.timeout(ATTEMPT_TIMEOUT_S):
-                answer = await host.complete(booking.prompt, 20, headers)
+                response = await host.complete(request.prompt, 20, headers)
         except (aiohttp.ClientError, TimeoutError):
-            booking.told.append("nothing")
+            request.outcomes.append("nothing")
             return
-        if answer.status != 200:
-            booking.told.append(f"{answer.error['code']}/{answer.error['run']}")
+        if response.status != 200:
+            request.outcomes.append(f"{response.error['code']}/{response.error['run']}")
             return
-        assert answer.text == expected_text(booking.prompt, 20)
-        booking.told.append("answered")
+        assert response.text == expected_text(request.prompt, 20)
+        request.outcomes.append("answered")
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_bookings_under_faults_of_all_kinds(seed):
-    """Two crews would come to one wall, or none though the caller was told so.
+def test_keyed_requests_under_combined_faults(seed):
+    """Guards against duplicate runs and false outcome reports under combined faults.
 
-    Hosts are paused, killed and replaced, cut off; the platform loses and delays
-    answers and goes down; engines close connections; callers repeat their keys.
-    Cause: guards that hold against each fault alone.
+    Hosts are paused, replaced and disconnected; the platform goes down and loses or
+    delays responses; engines close connections; callers repeat their keys. Protection
+    against each single fault may fail when faults are combined.
     """
 
     async def run():
@@ -168,42 +168,45 @@
             hosts, engines = await fleet.start_system(hosts=3, engines=2)
             for engine in engines:
                 await engine.control(slow_factor=5)
-            chaos = Chaos(fleet, hosts, engines, seed)
-            callers = Callers(chaos, seed)
+            faults = FaultInjector(fleet, hosts, engines, seed)
+            callers = Callers(faults, seed)
             callers.start()
-            await chaos.run()
+            await faults.run()
             await callers.stop()
 
-            async def are_idle():
+            async def all_idle():
                 counters = [await engine.counters() for engine in engines]
                 return not any(c["running"] + c["waiting"] for c in counters)
 
-            await wait_until(are_idle, "the engines to finish")
-            outcomes = {}
-            for booking in callers.bookings:
-                runs = await fleet.count_runs(booking.prompt, engines)
-                last = booking.told[-1]
-                story = (booking.prompt, booking.key, booking.told, runs)
-                assert runs <= 1, story
+            await wait_until(all_idle, "the engines to finish")
+            counts = {}
+            for request in callers.requests:
+                runs = await fleet.count_runs(request.prompt, engines)
+                last = request.outcomes[-1]
+                details = (request.prompt, request.key, request.outcomes, runs)
+                assert runs <= 1, details
                 if last == "answered":
-                    assert runs == 1, story
+                    assert runs == 1, details
                 if last.endswith("/no"):
-                    assert runs == 0, story
-                outcomes[last] = outcomes.get(last, 0) + 1
-            print(outcomes)
-            assert outcomes["answered"] > 0, outcomes
-            # Whatever happened, nothing is left behind that keeps a host from serving.
-            for host in chaos.hosts:
-                await wait_until(lambda host=host: books(host), "a booking afterwards")
+                    assert runs == 0, details
+                counts[last] = counts.get(last, 0) + 1
+            print(counts)
+            assert counts["answered"] > 0, counts
+            # No state left by the faults may keep a host from serving.
+            for host in faults.hosts:
+                await wait_until(
+                    lambda host=host: serves_keyed_request(host),
+                    "a keyed request to be served",
+                )
 
     asyncio.run(run())
 
 
-async def books(host):
-    """Return whether a new booking through a host is answered whole."""
+async def serves_keyed_request(host):
+    """Return whether a new keyed request through a host gets a complete response."""
     if not await host.is_ready():
         return False
     prompt = "a crew booking after all that"
     key = await host.mint_key()
-    answer = await host.complete(prompt, 20, {"Idempotency-Key": key})
-    return answer.status == 200 and answer.text == expected_text(prompt, 20)
+    response = await host.complete(prompt, 20, {"Idempotency-Key": key})
+    return response.status == 200 and response.text == expected_text(prompt, 20)
