--- a/tests/test_outage.py
+++ b/tests/test_outage.py
@@ -134,11 +134,11 @@
     asyncio.run(run())
 
 
-def test_slow_platform_delays_no_ordinary_request():
-    """Guards against ordinary requests that wait for the platform.
+def test_slow_platform_stops_no_serving_and_writes_stay_bounded():
+    """Guards against failed requests and excess writes while the platform is slow.
 
-    Each platform call takes most of the call time-out. A platform call on the path of
-    ordinary requests would delay them all.
+    Each platform call takes most of the call time-out. A host that treats slow calls as
+    failed could refuse requests or a patch, or repeat its writes.
     """
 
     async def run():
