--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-# The one task runner. `make test` is the command that CI runs.
+# Entry point for all development tasks. CI runs `make test`.
 PYTHON ?= python3
 VENV := .venv
 BIN := $(VENV)/bin
--- a/bench/simulation.py
+++ b/bench/simulation.py
@@ -138,6 +138,7 @@
         return self._result()
 
     def _make_fleet(self):
+        """Create the engines, with the best static split of roles in hindsight."""
         count = self.user.engines
         prefill, _ = best_static_split(self.arrivals, self.settings, count, 0)
         zones = self.user.zones
@@ -150,6 +151,7 @@
             self.fleet[name] = engine
 
     def _make_hosts(self):
+        """Create the hosts and the decider's planner of role changes, if any."""
         zones = self.user.zones
         for number in range(self.user.hosts):
             name = f"host-{number}"
@@ -172,6 +174,7 @@
             self.planner = EagerPlanner(self.user.policy)
 
     def _make_scheduler(self, name, zone, number):
+        """Return a host's scheduler; "policy" and "eager" use the same one."""
         policy = self.user.policy
         if self.decider == "static":
             return SimpleScheduler(policy, make_round_robin())
@@ -194,6 +197,8 @@
             clock.at(at_s * self.time_scale, self._fault(kind, value))
 
     def _submit_arrival(self, arrival):
+        """Return the action that submits an arrival to a random host."""
+
         def act():
             host = self.rng.choice(self.hosts)
             host.submit(arrival, arrival.request)
@@ -201,6 +206,7 @@
         return act
 
     def _send_endpoint_list(self):
+        """Send the list of running engines to all hosts; the first also at once."""
         endpoints = {}
         for name, engine in self.fleet.items():
             if engine.alive:
@@ -212,6 +218,7 @@
                 host.set_endpoint_list(endpoints)
 
     def _gossip(self):
+        """Send each host's load and convictions to all other hosts."""
         for host in self.hosts:
             load = host.scheduler.own_load()
             quarantine = host.scheduler.quarantine
@@ -226,6 +233,8 @@
                     self._deliver_convictions(other, convictions)
 
     def _deliver_peer_load(self, host, peer, load):
+        """Return the action that passes a peer's load to a host."""
+
         def act():
             scheduler = host.scheduler
             host.execute(scheduler.on_peer_load(self.clock.now_s, peer, load))
@@ -233,6 +242,8 @@
         return act
 
     def _deliver_convictions(self, host, convictions):
+        """Schedule the delivery of another host's convictions."""
+
         def act():
             quarantine = host.scheduler.quarantine
             for fingerprint, reason in convictions.items():
@@ -255,6 +266,7 @@
             )
 
     def _send_reports(self):
+        """Send load reports and cache events of running engines to all hosts."""
         lag_s = self.scenario.report_lag_s
         for engine in self.fleet.values():
             if not engine.alive:
@@ -265,6 +277,8 @@
                 self.clock.after(lag_s, self._deliver_report(host, report, events))
 
     def _deliver_report(self, host, report, events):
+        """Return the action that passes a report and cache events to a host."""
+
         def act():
             now_s, scheduler = self.clock.now_s, host.scheduler
             host.execute(scheduler.on_report(now_s, report))
@@ -293,6 +307,7 @@
             self._order_change(change.endpoint, change.role)
 
     def _plan_rollout(self, demands):
+        """Order the model loads that are due, if a rollout has started."""
         if self.rollout is None:
             return
         engines = {}
@@ -310,6 +325,7 @@
             self._order_model_load(order.endpoint)
 
     def _order_model_load(self, name):
+        """Order a load of version 2; other pending changes to the role slow it down."""
         engine = self.fleet[name]
         loads = 1 + sum(1 for goal in self.changing.values() if goal == engine.role)
         self._order_change(name, engine.role, MODEL_LOAD_S * max(1, loads), "2")
@@ -338,6 +354,8 @@
         self.clock.after(ORDER_LAG_S, lambda: engine.change(seconds, apply))
 
     def _deliver_role(self, host, name, engine):
+        """Return the action that tells a host that an engine's change has ended."""
+
         def act():
             if name in host.known_endpoints:
                 host.known_endpoints = {
@@ -372,10 +390,12 @@
         return act
 
     def _withdraw(self, engine):
+        """Crash an engine without a restart and cancel its pending change."""
         engine.crash(restart_s=None)
         self.changing.pop(engine.name, None)
 
     def _on_crash(self, engine):
+        """Forget the pending change of a crashed engine."""
         self.changing.pop(engine.name, None)
 
     def _sample(self):
@@ -392,6 +412,7 @@
         self.samples.append((self.clock.now_s, dict(roles)))
 
     def _on_outcome(self, host, arrival, request, outcome):
+        """Record an outcome and schedule a resend if the scenario has one."""
         self.outcomes.append((arrival, request, outcome))
         poison = request.fingerprint == "poison"
         if outcome.code == "done" or (poison and outcome.code == "crashing_request"):
--- a/deploy/build.sh
+++ b/deploy/build.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Puts the entry host and the libraries that it runs on below target/deps.
+# Installs the entry host and the libraries that it needs into target/deps.
 set -eu
 cd "$(dirname "$0")/.."
 parts="platform libs/ports libs/http libs/process libs/coordination libs/routing libs/entry"
@@ -9,8 +9,8 @@
     python3 -m pip install -q -U --target target/deps -r deploy/requirements.txt
     touch "$installed"
 fi
-# Unchanged sources are left alone: a build must not take files away from processes that
-# another run has just started.
+# Skip the copy if no source has changed: it removes files before it writes them again,
+# and processes that another run has just started may need them.
 if [ -e "$built" ] && [ -z "$(find $parts deploy -name '*.py' -newer "$built" -print -quit)" ]; then
     exit 0
 fi
--- a/docs/examples/embed_coordination.py
+++ b/docs/examples/embed_coordination.py
@@ -1,7 +1,7 @@
-"""Runs a booking at most once with the claim journal, in a program of your own.
+"""Runs a non-idempotent request at most once with the claim journal.
 
-A home claims the key of a booking and dies; a survivor seals its journal and tells
-what became of two keys. The dictionary stands for a store with conditional writes.
+An owner claims a request's key and fails. Another host seals its journal and reports
+the outcome of two keys. A dictionary serves as the store with conditional writes.
 """
 
 from gypsumusher_coordination import (
@@ -18,7 +18,7 @@
 
 
 def answer_call(objects, effect):
-    """Return the store's answer to one effect that names an object."""
+    """Execute one read or conditional write on the store and return its result."""
     stored = objects.get((effect.kind, effect.name))
     if isinstance(effect, ReadObject):
         return ReadDone(effect.tag, stored)
@@ -30,23 +30,23 @@
 
 
 def run_effects(objects, machine, now_s, effects):
-    """Carry out a machine's effects until none is left; return the others."""
-    others = []
+    """Execute a state machine's store calls until none is left; return the rest."""
+    other_effects = []
     while effects:
         effect = effects.pop(0)
         if not isinstance(effect, (ReadObject, WriteObject)):
-            others.append(effect)
+            other_effects.append(effect)
             continue
         effects.extend(machine.handle(now_s, answer_call(objects, effect)))
-    return others
+    return other_effects
 
 
 def main():
-    """Claim one key of two, lose the home, and ask a survivor about both."""
+    """Claim one of two keys, then get the outcome of both after the owner fails."""
     objects = {}
-    home = ClaimJournal(incarnation="home-1", writer="f3a9")
-    sent_key, other_key = home.mint("0123456789abcdef"), home.mint("fedcba9876543210")
-    effects = run_effects(objects, home, 0.0, home.claim(0.0, sent_key, "booking"))
+    owner = ClaimJournal(incarnation="home-1", writer="f3a9")
+    sent_key, other_key = owner.mint("0123456789abcdef"), owner.mint("fedcba9876543210")
+    effects = run_effects(objects, owner, 0.0, owner.claim(0.0, sent_key, "booking"))
     assert effects == [ClaimGranted(sent_key)]
     print(f"{sent_key}: granted, may be sent")
     sealer = JournalSealer("home-1", sealing_host="host-2")
--- a/docs/examples/embed_policy.py
+++ b/docs/examples/embed_policy.py
@@ -1,4 +1,4 @@
-"""Decides on a handful of requests with the policy library, in virtual time."""
+"""Schedules a few requests with the policy library, in virtual time."""
 
 from gypsumusher_policy import (
     ClassPolicy,
@@ -26,7 +26,7 @@
 
 
 def describe(action):
-    """Return what a program of your own would send to an engine or a caller."""
+    """Return what an embedding program would send to an engine or a caller."""
     if isinstance(action, Start):
         return f"start {action.request_id} #{action.attempt} on {action.endpoint}"
     return f"refuse {action.request_id}: {action.code}, run={action.run}"
@@ -34,12 +34,12 @@
 
 def show(now_s, event, actions):
     """Print an event and the actions that it caused."""
-    words = [describe(action) for action in actions] or ["nothing"]
-    print(f"{now_s:.1f} {event} -> {'; '.join(words)}")
+    descriptions = [describe(action) for action in actions] or ["nothing"]
+    print(f"{now_s:.1f} {event} -> {'; '.join(descriptions)}")
 
 
 def main():
-    """Refuse, place, retry and queue, each on one event."""
+    """Print events that lead to a refusal, a start, a retry and queueing."""
     sched = Scheduler(POLICY, host="host-1", zone="zone-a", seed=1)
     show(0.0, "early arrives", sched.submit(0.0, make_request(0.0, "early")))
     sched.set_endpoints(0.1, [Endpoint(e, "zone-a", "mixed", False) for e in ENGINES])
