--- a/libs/entry/tests/host_harness.py
+++ b/libs/entry/tests/host_harness.py
@@ -5,14 +5,14 @@
 from typing import NamedTuple
 
 import aiohttp
-from platform_samples import configuration, entry
+from platform_samples import sample_configuration, sample_endpoint_entry
 from processes import free_ports
 from proxies import Proxy
-from replies import ScriptedEndpoint, answer_to, request_id_of
+from scripted_endpoint import ScriptedEndpoint, encode_response, request_id_of
 
 from gypsumusher_entry.host import EntryHost
 from gypsumusher_ports import Bounds, HostSettings
-from gypsumusher_standins.object_store import ObjectStore
+from gypsumusher_standins.object_store_server import ObjectStoreServer
 
 __all__ = [
     "IDEMPOTENT_ROUTE",
@@ -23,8 +23,8 @@
     "HostWithoutStore",
     "HostHarness",
     "ask",
-    "configuration",
-    "entry",
+    "sample_configuration",
+    "sample_endpoint_entry",
     "not_run",
     "host_without_store",
     "run",
@@ -59,17 +59,17 @@
         self.endpoints = [ScriptedEndpoint(script) for script in scripts]
         self.routes = routes
         self.log_lines = []
-        self.store = ObjectStore()
+        self.store = ObjectStoreServer()
 
     def log(self, level, event, **fields):
         self.log_lines.append((event, fields))
 
     async def __aenter__(self):
         store_address = await self.store.start()
-        self.store.put("config", "main", configuration(1, *self.routes))
+        self.store.put("config", "main", sample_configuration(1, *self.routes))
         for number, endpoint in enumerate(self.endpoints):
             address = await endpoint.start()
-            self.store.put("servers", f"e-{number}", entry(address))
+            self.store.put("servers", f"e-{number}", sample_endpoint_entry(address))
         self.host = EntryHost(settings(store_address), self.log)
         self.addresses = await self.host.start()
         await until(
@@ -111,7 +111,7 @@
     """Reject a request, as an endpoint without free capacity does."""
     extra = ("X-Gypsumusher-Not-Run: 1",)
     status = "503 Service Unavailable"
-    writer.write(answer_to(request_id_of(head), b"", status, extra))
+    writer.write(encode_response(request_id_of(head), b"", status, extra))
 
 
 class HostWithoutStore(NamedTuple):
@@ -119,9 +119,9 @@
 
     Attributes
     ----------
-    store : ObjectStore
+    store : ObjectStoreServer
         Store of the first host.
-    other_store : ObjectStore
+    other_store : ObjectStoreServer
         Store of the second host: it refuses all calls until its fault is removed.
     link : Proxy
         Connection between the hosts.
@@ -133,8 +133,8 @@
         Log lines of the second host.
     """
 
-    store: ObjectStore
-    other_store: ObjectStore
+    store: ObjectStoreServer
+    other_store: ObjectStoreServer
     link: Proxy
     context: object
     session: aiohttp.ClientSession
@@ -144,12 +144,12 @@
 @contextlib.asynccontextmanager
 async def host_without_store(*endpoint_addresses):
     """Start two hosts with some endpoints; only the first can read the store."""
-    store, refusing_store = ObjectStore(), ObjectStore()
+    store, refusing_store = ObjectStoreServer(), ObjectStoreServer()
     refusing_store.fault = "refuse"
     address, refusing_address = await store.start(), await refusing_store.start()
-    store.put("config", "main", configuration(1, IDEMPOTENT_ROUTE))
+    store.put("config", "main", sample_configuration(1, IDEMPOTENT_ROUTE))
     for number, endpoint_address in enumerate(endpoint_addresses or ["127.0.0.1:9"]):
-        store.put("servers", f"e-{number}", entry(endpoint_address))
+        store.put("servers", f"e-{number}", sample_endpoint_entry(endpoint_address))
     port = free_ports("127.0.0.2", 1)[0]
     lines = []
     peer = EntryHost(
--- a/libs/entry/tests/test_large_configuration.py
+++ b/libs/entry/tests/test_large_configuration.py
@@ -5,14 +5,14 @@
 from host_harness import (
     IDEMPOTENT_ROUTE,
     ask,
-    configuration,
-    entry,
     host_without_store,
     run,
+    sample_configuration,
+    sample_endpoint_entry,
     until,
 )
-from platform_samples import many_routes
-from replies import ScriptedEndpoint, answer_to, request_id_of
+from platform_samples import sample_routes
+from scripted_endpoint import ScriptedEndpoint, encode_response, request_id_of
 
 # Number of routes that an operator adds to a large deployment at once.
 MANY_ROUTES = 1400
@@ -25,7 +25,7 @@
 
 
 async def healthy(number, head, body, writer):
-    writer.write(answer_to(request_id_of(head)))
+    writer.write(encode_response(request_id_of(head)))
 
 
 @contextlib.asynccontextmanager
@@ -46,8 +46,8 @@
     # read and the rest was lost.
     async def scenario():
         async with host_without_store_and_two_endpoints() as (_, _, hosts):
-            routes = many_routes(MANY_ROUTES, IDEMPOTENT_ROUTE)
-            hosts.store.put("config", "main", configuration(2, *routes))
+            routes = sample_routes(MANY_ROUTES, IDEMPOTENT_ROUTE)
+            hosts.store.put("config", "main", sample_configuration(2, *routes))
             await until(lambda: hosts.context.configuration_version == 2)
             host, path = routes[-1]["host"], routes[-1]["path_prefix"]
             status, _, body = await ask(hosts.session, f"{path}x", Host=host)
@@ -67,9 +67,13 @@
             addresses,
             hosts,
         ):
-            routes = [IDEMPOTENT_ROUTE, *many_routes(MANY_ROUTES, IDEMPOTENT_ROUTE)]
-            hosts.store.put("config", "main", configuration(2, *routes))
-            hosts.store.put("servers", "e-0", entry(addresses[0], "draining", beat=2))
+            routes = [IDEMPOTENT_ROUTE, *sample_routes(MANY_ROUTES, IDEMPOTENT_ROUTE)]
+            hosts.store.put("config", "main", sample_configuration(2, *routes))
+            hosts.store.put(
+                "servers",
+                "e-0",
+                sample_endpoint_entry(addresses[0], "draining", sequence=2),
+            )
             leaving = hosts.context.endpoints.states["e-0"]
             await until(lambda: not leaving.is_usable)
             for number in range(REQUESTS):
@@ -87,14 +91,18 @@
     async def scenario():
         async with host_without_store() as hosts:
             hosts.context.watches_store = lambda: False
-            hosts.link.set_holds(False, True)
+            hosts.link.set_blocked(False, True)
             for store in (hosts.store, hosts.other_store):
                 store.put(
                     "config",
                     "main",
-                    configuration(2, IDEMPOTENT_ROUTE, IDEMPOTENT_ROUTE),
+                    sample_configuration(2, IDEMPOTENT_ROUTE, IDEMPOTENT_ROUTE),
+                )
+                store.put(
+                    "servers",
+                    "e-0",
+                    sample_endpoint_entry("127.0.0.1:9", "draining", sequence=2),
                 )
-                store.put("servers", "e-0", entry("127.0.0.1:9", "draining", beat=2))
             hosts.other_store.fault = ""
             leaving = hosts.context.endpoints.states["e-0"]
             await until(lambda: hosts.context.configuration_version == 2)
@@ -111,11 +119,15 @@
     that the host has seen.
     """
     await until(lambda: len(hosts.context.endpoints.states) == 2)
-    hosts.link.set_holds(False, True)
+    hosts.link.set_blocked(False, True)
     hosts.store.remove("servers", "e-1")
     other = hosts.other_store
     while other.revision <= hosts.store.revision:
-        other.put("servers", "e-0", entry("127.0.0.1:9", beat=other.revision))
+        other.put(
+            "servers",
+            "e-0",
+            sample_endpoint_entry("127.0.0.1:9", sequence=other.revision),
+        )
     return other
 
 
@@ -157,11 +169,13 @@
     async def scenario():
         async with host_without_store() as hosts:
             hosts.context.watches_store = lambda: False
-            hosts.link.set_holds(False, True)
+            hosts.link.set_blocked(False, True)
             hosts.other_store.put("config", "main", {"version": 2, "routes": "new"})
             hosts.other_store.fault = ""
             hosts.store.put(
-                "config", "main", configuration(2, IDEMPOTENT_ROUTE, IDEMPOTENT_ROUTE)
+                "config",
+                "main",
+                sample_configuration(2, IDEMPOTENT_ROUTE, IDEMPOTENT_ROUTE),
             )
             calls, list_call = hosts.other_store.calls, ("GET", "/v1/objects/config")
             read_s = []
@@ -182,8 +196,8 @@
     async def scenario():
         async with host_without_store() as hosts:
             hosts.link.bytes_per_s = CONGESTED_BYTES_PER_S
-            routes = many_routes(MANY_ROUTES, IDEMPOTENT_ROUTE)
-            hosts.store.put("config", "main", configuration(2, *routes))
+            routes = sample_routes(MANY_ROUTES, IDEMPOTENT_ROUTE)
+            hosts.store.put("config", "main", sample_configuration(2, *routes))
             await until(lambda: hosts.context.configuration_version == 2)
 
     run(scenario())
--- a/libs/entry/tests/test_stage_orders.py
+++ b/libs/entry/tests/test_stage_orders.py
@@ -3,8 +3,15 @@
 import asyncio
 import json
 
-from host_harness import STREAM_ROUTE, HostHarness, configuration, entry, run, until
-from replies import answer_to
+from host_harness import (
+    STREAM_ROUTE,
+    HostHarness,
+    run,
+    sample_configuration,
+    sample_endpoint_entry,
+    until,
+)
+from scripted_endpoint import encode_response
 
 
 class Engine:
@@ -25,33 +32,35 @@
     async def __call__(self, number, head, body, writer):
         if head.startswith(b"GET /v1/report"):
             report = {"stage": self.stage, "busy": False, "seq": self.order_count}
-            writer.write(answer_to("", json.dumps(report).encode()))
+            writer.write(encode_response("", json.dumps(report).encode()))
             return
         if not head.startswith(b"POST /v1/order"):
-            writer.write(answer_to("", b"{}"))
+            writer.write(encode_response("", b"{}"))
             return
         order = json.loads(body)
         self.orders.append((head, order))
         if order["precondition"] != self.order_count:
-            writer.write(answer_to("", b"", "409 Conflict"))
+            writer.write(encode_response("", b"", "409 Conflict"))
             return
         self.order_count += 1
         self.stage = order["stage"]
         if self.responds_to_orders:
-            writer.write(answer_to("", b"", "202 Accepted"))
+            writer.write(encode_response("", b"", "202 Accepted"))
         else:
             await asyncio.Event().wait()
 
 
 async def make_all_prefill(harness):
     """Set all engines to the prefill stage, as after a loss of the decoding ones."""
-    content = configuration(2, STREAM_ROUTE)
+    content = sample_configuration(2, STREAM_ROUTE)
     content["services"][0]["engine"] = {"slots": 8, "switch_s": 2.5}
     harness.store.put("config", "main", content)
     states = harness.host.context.endpoints.states
     for name, state in list(states.items()):
         address = state.record.address
-        harness.store.put("servers", name, entry(address, stage="prefill", beat=9))
+        harness.store.put(
+            "servers", name, sample_endpoint_entry(address, stage="prefill", sequence=9)
+        )
     await until(lambda: all(s.record.stage == "prefill" for s in states.values()))
 
 
--- a/libs/entry/tests/test_store_calls.py
+++ b/libs/entry/tests/test_store_calls.py
@@ -2,12 +2,19 @@
 
 import asyncio
 
-from host_harness import IDEMPOTENT_ROUTE, configuration, entry, run, settings, until
+from host_harness import (
+    IDEMPOTENT_ROUTE,
+    run,
+    sample_configuration,
+    sample_endpoint_entry,
+    settings,
+    until,
+)
 from processes import free_ports
 
 from gypsumusher_entry import store_watcher
 from gypsumusher_entry.host import EntryHost
-from gypsumusher_standins.object_store import ObjectStore
+from gypsumusher_standins.object_store_server import ObjectStoreServer
 
 HOSTS, CHANGES = 8, 20
 # Of eight hosts four are active, and three of these watch the store for all.
@@ -22,12 +29,12 @@
     """Eight hosts in one process, with one store."""
 
     def __init__(self):
-        self.store = ObjectStore()
+        self.store = ObjectStoreServer()
         self.hosts = []
         self.changes = 0
 
     async def __aenter__(self):
-        self.store.put("servers", "e-0", entry("127.0.0.1:9"))
+        self.store.put("servers", "e-0", sample_endpoint_entry("127.0.0.1:9"))
         await self.start()
         await self.until_watchers_agreed()
         return self
@@ -35,7 +42,7 @@
     async def start(self):
         """Start all hosts at once."""
         address = await self.store.start()
-        self.store.put("config", "main", configuration(1, IDEMPOTENT_ROUTE))
+        self.store.put("config", "main", sample_configuration(1, IDEMPOTENT_ROUTE))
         port = free_ports("127.0.0.2", 1)[0]
         for number in range(HOSTS):
             ip = f"127.0.0.{2 + number}"
@@ -63,17 +70,25 @@
         while sum(context.sees_store for context in contexts) != WATCHERS:
             self.changes += 1
             self.store.put(
-                "config", "main", configuration(1 + self.changes, IDEMPOTENT_ROUTE)
+                "config",
+                "main",
+                sample_configuration(1 + self.changes, IDEMPOTENT_ROUTE),
             )
             address = "127.0.0.1:8"
-            self.store.put("servers", "e-1", entry(address, beat=self.changes))
+            self.store.put(
+                "servers", "e-1", sample_endpoint_entry(address, sequence=self.changes)
+            )
             await asyncio.sleep(0.1)
 
     async def calls_for_changes(self):
         """Return how many calls for endpoints some changes of endpoints cause."""
         before = len(self.store.calls)
         for beat in range(CHANGES):
-            self.store.put("servers", "e-1", entry("127.0.0.1:8", beat=beat + 1000))
+            self.store.put(
+                "servers",
+                "e-1",
+                sample_endpoint_entry("127.0.0.1:8", sequence=beat + 1000),
+            )
             await asyncio.sleep(0.05)
         calls = self.store.calls[before:]
         return sum(path.endswith("/servers") for _, path in calls)
@@ -114,8 +129,8 @@
             calls = [path for _, path in group.store.calls if path.endswith("/servers")]
             # Each host lists the endpoints once.
             assert len(calls) <= HOSTS + WATCHERS
-            group.store.put("servers", "e-0", entry("127.0.0.1:9"))
-            group.store.put("servers", "e-1", entry("127.0.0.1:8"))
+            group.store.put("servers", "e-0", sample_endpoint_entry("127.0.0.1:9"))
+            group.store.put("servers", "e-1", sample_endpoint_entry("127.0.0.1:8"))
             await group.until_endpoints_known()
         finally:
             await group.__aexit__()
@@ -133,10 +148,10 @@
     async def scenario():
         async with HostGroup() as group:
             group.store.fault = "refuse"
-            group.store.forget_history()
+            group.store.drop_event_history()
             await until(lambda: not any(h.context.sees_store for h in group.hosts))
             group.store.fault = ""
-            group.store.forget_history()
+            group.store.drop_event_history()
             await group.until_watchers_agreed()
             contexts = [host.context for host in group.hosts]
             assert any(c.endpoints.is_in_grace_period(c.clock()) for c in contexts)
--- a/libs/http/tests/test_connections.py
+++ b/libs/http/tests/test_connections.py
@@ -4,7 +4,7 @@
 from typing import NamedTuple
 
 import pytest
-from replies import ScriptedEndpoint, answer_to, request_id_of
+from scripted_endpoint import ScriptedEndpoint, encode_response, request_id_of
 
 from gypsumusher_http import CallError, ConnectionPool
 from gypsumusher_platform import decode_response_head
@@ -69,8 +69,8 @@
     async def script(number, head, body, writer):
         request_id = request_id_of(head)
         if number == 1:
-            writer.write(answer_to("first", b"of the first request"))
-        writer.write(answer_to(request_id, request_id.encode()))
+            writer.write(encode_response("first", b"of the first request"))
+        writer.write(encode_response(request_id, request_id.encode()))
 
     async def scenario():
         async with PoolFixture(script) as fixture:
@@ -90,7 +90,7 @@
     # the response to the next request.
     async def script(number, head, body, writer):
         request_id = request_id_of(head)
-        writer.write(answer_to(request_id) + b"rubbish")
+        writer.write(encode_response(request_id) + b"rubbish")
 
     async def scenario():
         async with PoolFixture(script) as fixture:
@@ -108,7 +108,7 @@
 def test_truncated_response_raises(framing):
     async def script(number, head, body, writer):
         part = b"5\r\nwhole\r\n" if "chunked" in framing else b"whole"
-        writer.write(answer_to(request_id_of(head), part, framing=framing))
+        writer.write(encode_response(request_id_of(head), part, framing=framing))
         writer.close()
 
     async def scenario():
@@ -122,7 +122,7 @@
 
 def test_response_without_length_ends_at_eof():
     async def script(number, head, body, writer):
-        writer.write(answer_to(request_id_of(head), framing="Connection: close"))
+        writer.write(encode_response(request_id_of(head), framing="Connection: close"))
         writer.close()
 
     async def scenario():
@@ -176,7 +176,9 @@
         loop.create_connection = no_connection
         connection = await pool.acquire("e-1", "127.0.0.1:1", 10)
         response = connection.send(b"", "r")
-        connection.data_received(answer_to("r", b"ha", framing="Connection: close"))
+        connection.data_received(
+            encode_response("r", b"ha", framing="Connection: close")
+        )
         connection.eof_received()
         connection.connection_lost(None)
         with pytest.raises(CallError):
@@ -190,7 +192,7 @@
     # here after 1 s. The request would be reset, and lost if it may run at most once.
     async def script(number, head, body, writer):
         keep = ("Keep-Alive: timeout=1",)
-        writer.write(answer_to(request_id_of(head), extra=keep))
+        writer.write(encode_response(request_id_of(head), extra=keep))
 
     async def scenario():
         async with PoolFixture(script) as fixture:
@@ -206,7 +208,7 @@
     # An endpoint restarts with its id and address. A connection to its previous
     # incarnation may hang, and doesn't count against the limit of the new one.
     async def script(number, head, body, writer):
-        writer.write(answer_to(request_id_of(head)))
+        writer.write(encode_response(request_id_of(head)))
 
     async def scenario():
         async with PoolFixture(script) as fixture:
--- /dev/null
+++ b/soak/soak_endpoint.py
@@ -0,0 +1,116 @@
+"""A service endpoint of the soak run, with failure modes that the run sets."""
+
+import asyncio
+
+from records import EVENTS, STREAM, Arrival, expected_body, expected_event
+from scripted_endpoint import (
+    ScriptedEndpoint,
+    encode_chunk,
+    encode_response,
+    request_id_of,
+)
+
+__all__ = ["SoakEndpoint"]
+
+# Simulated processing time of a request.
+WORK_S = 0.01
+# Delay between two events of a stream.
+EVENT_INTERVAL_S = 0.02
+
+
+class SoakEndpoint:
+    """One endpoint that can crash and restart under the same id.
+
+    Parameters
+    ----------
+    name : str
+        Id of the endpoint.
+    clock : callable
+        Returns the seconds since the run began.
+    records : Records
+        Receives the requests that the endpoint runs and rejects.
+
+    Attributes
+    ----------
+    mode : str
+        ``well`` (healthy), ``errors`` (status 500 after the work), ``hang`` (no
+        response), ``break`` (response cut off in the body) or ``full`` (rejects every
+        request with status 503 and ``X-Gypsumusher-Not-Run``).
+    """
+
+    def __init__(self, name, clock, records):
+        self.name = name
+        self.mode = "well"
+        self._clock = clock
+        self._records = records
+        self._endpoint = None
+
+    async def start(self):
+        """Start listening and return the address."""
+        self._endpoint = ScriptedEndpoint(self._respond)
+        return await self._endpoint.start()
+
+    async def close(self):
+        """Stop as in a crash: cut every connection and running request."""
+        await self._endpoint.close()
+
+    async def _respond(self, number, head, body, writer):
+        """Respond to one request as the current mode says."""
+        headers = _parse_headers(head)
+        request_id = request_id_of(head)
+        expected = headers.get("x-gypsumusher-expect-instance", self.name)
+        if expected != self.name:
+            writer.write(encode_response(request_id, b"", "421 Misdirected Request"))
+            return
+        if not request_id:
+            writer.write(encode_response("health", b""))
+            return
+        mode = self.mode
+        arrival = Arrival(request_id, self.name, self._clock())
+        if mode == "full":
+            self._records.rejections.append(arrival)
+            status, not_run = "503 Service Unavailable", ("X-Gypsumusher-Not-Run: 1",)
+            writer.write(encode_response(request_id, b"", status, not_run))
+            return
+        self._records.arrivals.append(arrival)
+        await asyncio.sleep(WORK_S)
+        if mode == "hang":
+            await asyncio.Event().wait()
+        if mode == "errors":
+            writer.write(encode_response(request_id, b"", "500 Internal Server Error"))
+            return
+        if head.split(b" ", 2)[1].startswith(f"/{STREAM}/".encode()):
+            await self._stream(request_id, headers, writer, mode)
+            return
+        response = encode_response(request_id, expected_body(request_id))
+        if mode == "break":
+            writer.write(response[: -len(expected_body(request_id)) // 2])
+            writer.close()
+            return
+        writer.write(response)
+        await writer.drain()
+
+    async def _stream(self, request_id, headers, writer, mode):
+        first = 1 + int(headers.get("last-event-id", -1))
+        content_type = ("Content-Type: text/event-stream",)
+        framing = "Transfer-Encoding: chunked"
+        writer.write(
+            encode_response(request_id, b"", extra=content_type, framing=framing)
+        )
+        for number in range(first, EVENTS):
+            event = expected_event(request_id, number)
+            if mode == "break" and number >= first + 2:
+                writer.write(encode_chunk(event[:5]))
+                writer.close()
+                return
+            writer.write(encode_chunk(event))
+            await writer.drain()
+            await asyncio.sleep(EVENT_INTERVAL_S)
+        writer.write(b"0\r\n\r\n")
+
+
+def _parse_headers(head):
+    """Return the headers of a request head by lower-case name."""
+    lines = head.decode("latin-1").split("\r\n")[1:]
+    pairs = (line.partition(":") for line in lines if line)
+    return {name.lower(): value.strip() for name, _, value in pairs}
--- a/tests/test_platform_store.py
+++ b/tests/test_platform_store.py
@@ -1,13 +1,13 @@
-"""The store's client against a store that refuses calls, hangs or drops history."""
+"""The store's client when the store refuses calls, hangs or discards history."""
 
 import asyncio
 import time
 
-from platform_samples import configuration, many_routes
+from platform_samples import sample_configuration, sample_routes
 from proxies import Proxy
 
 from gypsumusher_platform import StoreClient
-from gypsumusher_standins.object_store import ObjectStore
+from gypsumusher_standins.object_store_server import ObjectStoreServer
 
 
 def run(coroutine):
@@ -18,7 +18,7 @@
     """A stand-in for the platform's store, and a client connected to it."""
 
     async def __aenter__(self):
-        self.store = ObjectStore()
+        self.store = ObjectStoreServer()
         self.client = StoreClient(await self.store.start(), 0.3, time.monotonic)
         return self
 
@@ -34,14 +34,14 @@
     async def scenario():
         async with StoreFixture() as fixture:
             client = fixture.client
-            made = (await client.create("locks", "one", {"x": 1})).unwrap()
+            created = (await client.create("locks", "one", {"x": 1})).unwrap()
             assert (
                 await fixture.error_code(client.create("locks", "one", {}))
                 == "conflict"
             )
-            late = client.replace("locks", "one", {"x": 2}, made.revision - 1)
-            assert await fixture.error_code(late) == "conflict"
-            await client.replace("locks", "one", {"x": 2}, made.revision)
+            outdated = client.replace("locks", "one", {"x": 2}, created.revision - 1)
+            assert await fixture.error_code(outdated) == "conflict"
+            await client.replace("locks", "one", {"x": 2}, created.revision)
             assert (await client.get("locks", "one")).unwrap().content == {"x": 2}
             await client.delete("locks", "one")
             assert await fixture.error_code(client.get("locks", "one")) == "absent"
@@ -62,11 +62,11 @@
             changes = (await watch).unwrap()
             assert [item.is_deleted for item in changes.changes] == [True]
             assert changes.revision > listing.revision
-            fixture.store.forget_history()
+            fixture.store.drop_event_history()
             fixture.store.put("servers", "e-2", {})
-            fixture.store.forget_history()
-            gone = fixture.client.watch("servers", listing.revision, 1.0)
-            assert await fixture.error_code(gone) == "history_gone"
+            fixture.store.drop_event_history()
+            expired_watch = fixture.client.watch("servers", listing.revision, 1.0)
+            assert await fixture.error_code(expired_watch) == "history_gone"
 
     run(scenario())
 
@@ -78,8 +78,8 @@
     async def scenario():
         async with StoreFixture() as fixture:
             fixture.store.fault = "lost"
-            lost = fixture.client.create("locks", "one", {})
-            assert await fixture.error_code(lost) == "unknown"
+            lost_call = fixture.client.create("locks", "one", {})
+            assert await fixture.error_code(lost_call) == "unknown"
             calls = len(fixture.store.calls)
             assert calls == 1
             fixture.store.fault = "refuse"
@@ -98,13 +98,13 @@
 
 def test_large_configuration_is_read_over_a_slow_link():
     # Guards against a host that never gets its configuration. With thousands of routes
-    # and a slow link, each read exceeded a limit on its total time and began anew, so
-    # that the host refused all callers.
+    # and a slow link, each read exceeded its total time limit and started again, so the
+    # host refused all callers.
     async def scenario():
-        store = ObjectStore()
+        store = ObjectStoreServer()
         link = Proxy(await store.start())
         client = StoreClient(await link.start(), 0.3, time.monotonic)
-        content = configuration(1, *many_routes(1400, {"kind": "idempotent"}))
+        content = sample_configuration(1, *sample_routes(1400, {"kind": "idempotent"}))
         store.put("config", "main", content)
         link.bytes_per_s = 400_000.0
         listing = (await client.list("config")).unwrap()
--- a/tools/platform_samples.py
+++ b/tools/platform_samples.py
@@ -1,9 +1,9 @@
-"""What operators and endpoints write into the platform's store, for tests and soak."""
+"""Sample objects of the platform store, for tests and for the soak run."""
 
 import random
 import string
 
-__all__ = ["configuration", "entry", "many_routes"]
+__all__ = ["sample_configuration", "sample_endpoint_entry", "sample_routes"]
 
 LIMITS = {
     "max_header_bytes": 16384,
@@ -13,8 +13,8 @@
 }
 
 
-def configuration(version, *routes):
-    """Return a configuration as operators write it."""
+def sample_configuration(version, *routes):
+    """Return a configuration whose routes have the given fields."""
     items = []
     for number, fields in enumerate(routes):
         route = {
@@ -36,16 +36,16 @@
     }
 
 
-def many_routes(count, fields, seed=1):
-    """Return routes with names as operators choose them, which hardly repeat.
+def sample_routes(count, fields, seed=1):
+    """Return routes with random names, hosts and paths.
 
-    Routes that differ by a number alone pack to a twentieth of their size, and an
-    answer that holds a thousand of them would pass as a small one.
+    Routes that differ only by a number compress to a twentieth of their size, so that a
+    response with a thousand of them would count as a small one.
     """
-    draw = random.Random(seed)
+    rng = random.Random(seed)
 
     def word(length):
-        return "".join(draw.choices(string.ascii_lowercase, k=length))
+        return "".join(rng.choices(string.ascii_lowercase, k=length))
 
     routes = []
     for _ in range(count):
@@ -55,8 +55,8 @@
     return routes
 
 
-def entry(address, state="ready", beat=1, **fields):
-    """Return an endpoint's entry as it writes it."""
+def sample_endpoint_entry(address, state="ready", sequence=1, **fields):
+    """Return the entry that an endpoint writes for itself."""
     return {
         "service": "svc",
         "addr": address,
@@ -65,6 +65,6 @@
         "slots": 6,
         "state": state,
         "warmup_left_ms": 0,
-        "seq": beat,
+        "seq": sequence,
         **fields,
     }
