--- a/libs/policy/gypsumusher_policy/__init__.py
+++ b/libs/policy/gypsumusher_policy/__init__.py
@@ -1,4 +1,8 @@
-"""Decisions under load: admit, queue, refuse, place, shift."""
+"""Decision logic: admission, queueing, placement, retries and role changes.
+
+The package does no input or output and reads no clock. Its functions take the present
+time and events, and return the actions to carry out.
+"""
 
 from gypsumusher_policy.cells import choose_cell, choose_entry_hosts
 from gypsumusher_policy.quarantine import Quarantine
--- a/libs/policy/gypsumusher_policy/arrival_rates.py
+++ b/libs/policy/gypsumusher_policy/arrival_rates.py
@@ -1,48 +1,58 @@
-"""How much work of each kind arrives, as a host tells the steward."""
+"""Arrival rates of prefill and decode work, which hosts report to the steward."""
 
 import math
 
-# Time constants of the averages, in seconds. The fast one shows a burst; the planner
-# uses the slow one, because work may wait for tens of seconds and still be on time,
-# whereas a change that a burst has caused is undone soon after.
-FAST_S = 5.0
-PLAN_S = 15.0
+# Time constant of the rates that follow bursts, in seconds.
+FAST_TIME_CONSTANT_S = 5.0
+# Time constant of the rates for role planning, in seconds. Queued work may wait for
+# tens of seconds and still meet its deadline, whereas a role change made for a short
+# burst would soon be reversed.
+PLANNING_TIME_CONSTANT_S = 15.0
 
 
 class DemandMeter:
-    """Averages of the arriving work of each class, in engine seconds a second."""
+    """Moving averages of the work that arrives in each class.
+
+    Rates are pairs (prefill, decode) by class rank, in engine seconds per second.
+
+    Attributes
+    ----------
+    fast_rates, planning_rates : dict of int to (float, float)
+        Averages with the fast and the planning time constant.
+    """
 
     def __init__(self):
-        self.at_s = None
+        self.updated_s = None
         self.pending = {}
-        self.rates = {}
-        self.plan_rates = {}
+        self.fast_rates = {}
+        self.planning_rates = {}
 
     def add(self, now_s: float, rank: int, prefill_s: float, decode_s: float) -> None:
-        """Count the work of an arriving request."""
-        self.roll(now_s)
-        known = self.pending.get(rank, (0.0, 0.0))
-        self.pending[rank] = (known[0] + prefill_s, known[1] + decode_s)
-        self.rates.setdefault(rank, (0.0, 0.0))
-        self.plan_rates.setdefault(rank, (0.0, 0.0))
-
-    def roll(self, now_s: float) -> None:
-        """Take the time since the last second into the averages."""
-        if self.at_s is None:
-            self.at_s = now_s
+        """Count the work of an arriving request, in engine seconds."""
+        self.update(now_s)
+        work_s = self.pending.get(rank, (0.0, 0.0))
+        self.pending[rank] = (work_s[0] + prefill_s, work_s[1] + decode_s)
+        self.fast_rates.setdefault(rank, (0.0, 0.0))
+        self.planning_rates.setdefault(rank, (0.0, 0.0))
+
+    def update(self, now_s: float) -> None:
+        """Fold the pending arrivals into the averages, at most once a second."""
+        if self.updated_s is None:
+            self.updated_s = now_s
             return
-        span_s = now_s - self.at_s
-        if span_s < 1.0:
+        interval_s = now_s - self.updated_s
+        if interval_s < 1.0:
             return
-        self.at_s = now_s
-        self._average(self.rates, FAST_S, span_s)
-        self._average(self.plan_rates, PLAN_S, span_s)
+        self.updated_s = now_s
+        self._average(self.fast_rates, FAST_TIME_CONSTANT_S, interval_s)
+        self._average(self.planning_rates, PLANNING_TIME_CONSTANT_S, interval_s)
         self.pending.clear()
 
-    def _average(self, rates, constant_s, span_s):
-        weight = 1.0 - math.exp(-span_s / constant_s)
-        for rank, known in rates.items():
-            seen = self.pending.get(rank, (0.0, 0.0))
-            prefill = known[0] + weight * (seen[0] / span_s - known[0])
-            decode = known[1] + weight * (seen[1] / span_s - known[1])
+    def _average(self, rates, time_constant_s, interval_s):
+        """Move the rates of all ranks towards those of the last interval."""
+        weight = 1.0 - math.exp(-interval_s / time_constant_s)
+        for rank, rate in rates.items():
+            arrived_s = self.pending.get(rank, (0.0, 0.0))
+            prefill = rate[0] + weight * (arrived_s[0] / interval_s - rate[0])
+            decode = rate[1] + weight * (arrived_s[1] / interval_s - rate[1])
             rates[rank] = (prefill, decode)
--- a/libs/policy/gypsumusher_policy/health.py
+++ b/libs/policy/gypsumusher_policy/health.py
@@ -1,82 +1,114 @@
-"""Whether an endpoint fails what it is sent, from this host's own attempts.
+"""Circuit breaker of an endpoint, based on this host's own attempts.
 
-Made for an engine that answers fast with errors: it looks idle, so that the least
-loaded choice would send it everything. The half-open state with one probe and the
-counting of only those failures that the endpoint is to blame for follow llmkit's
-provider health (PAPER-llmkit-cdfb).
+An engine that answers every request at once with an error always looks idle, so that
+least-loaded placement would send it all requests. The half-open state with a single
+probe, and counting only failures that the endpoint caused, follow the provider health
+of llmkit (PAPER-llmkit-cdfb).
 """
 
-# Failures in a row after which an endpoint gets no more work: one may be the
-# request's, three of different requests are hardly.
-FAILURES_IN_A_ROW = 3
-# First pause after that, in seconds; each failed probe doubles it, up to the last.
-FIRST_PAUSE_S = 2.0
-LAST_PAUSE_S = 32.0
-# For how long after a failure the endpoint gets only requests that may run twice. A
-# deployment whose work may all run only once has no others, so it must end: two
-# seconds bring a few of them where there are any, and callers can wait that long.
-ONCE_PAUSE_S = 2.0
-# Reasons for which the endpoint is to blame. A refusal is an engine's right, and a
-# crash is weighed by the quarantine.
-BLAMED = frozenset(("connect", "broken", "error", "crossed"))
+# Consecutive failures after which an endpoint is paused. A single failure may be
+# caused by the request; three failures of different requests hardly are.
+MAX_CONSECUTIVE_FAILURES = 3
+# First pause of an endpoint, in seconds. Each failed probe doubles it, up to the
+# maximum.
+INITIAL_PAUSE_S = 2.0
+MAX_PAUSE_S = 32.0
+# Time after a failure or pause in which an endpoint gets only idempotent requests, in
+# seconds. It has to end, as some deployments have only non-idempotent requests. Two
+# seconds are enough for a few idempotent requests, if there are any, and short enough
+# for callers to wait.
+NON_IDEMPOTENT_PAUSE_S = 2.0
+# Failure reasons that count against the endpoint. A refusal is not a fault of the
+# engine, and crashes are handled by `Quarantine`.
+ENDPOINT_FAULT_REASONS = frozenset(("connect", "broken", "error", "crossed"))
 
 
-class Health:
-    """Failures in a row of one endpoint, and the pause that they brought."""
+class EndpointHealth:
+    """Consecutive failures of one endpoint, and the pause that follows from them.
+
+    Attributes
+    ----------
+    consecutive_failures : int
+        Failures since the last success.
+    pause_s : float
+        Length of the present or next pause, in seconds.
+    open_until_s : float
+        End of the present or last pause, in seconds.
+    last_failure_s : float
+        Time of the last failure, in seconds.
+    probing : bool
+        Whether the probe of a paused endpoint is in flight.
+    """
 
     def __init__(self):
-        self.failures = 0
-        self.pause_s = FIRST_PAUSE_S
-        self.until_s = 0.0
-        self.failed_s = float("-inf")
+        self.consecutive_failures = 0
+        self.pause_s = INITIAL_PAUSE_S
+        self.open_until_s = 0.0
+        self.last_failure_s = float("-inf")
         self.probing = False
 
     def is_open(self) -> bool:
-        """Say whether it has failed too often to get work as usual."""
-        return self.failures >= FAILURES_IN_A_ROW
+        """Return whether the circuit is open: no work, apart from a probe."""
+        return self.consecutive_failures >= MAX_CONSECUTIVE_FAILURES
 
     def allows(self, now_s: float, idempotent: bool) -> bool:
-        """Say whether it may be sent a request.
+        """Return whether the endpoint may get a request.
+
+        After its pause, the endpoint gets exactly one probe. For some time after a
+        failure it gets only idempotent requests, because a non-idempotent one that
+        fails cannot be retried. That time is limited: in a deployment that has only
+        non-idempotent requests, no other request would show that the endpoint has
+        recovered, and all requests would wait until their deadlines.
 
-        After its pause it gets exactly one probe. For a while after a failure it
-        gets only requests that may run twice: a booking had better not be the one to
-        find out. Only for a while: with bookings alone nothing else would ever show
-        that the endpoint is well, and all of them would wait until they are late.
+        Parameters
+        ----------
+        now_s : float
+            The present time, in seconds.
+        idempotent : bool
+            Whether the request may run more than once.
         """
-        if not idempotent and now_s < self.once_from_s():
+        if not idempotent and now_s < self.non_idempotent_from_s():
             return False
         if not self.is_open():
             return True
-        return now_s >= self.until_s and not self.probing
+        return now_s >= self.open_until_s and not self.probing
 
-    def once_from_s(self) -> float:
-        """Return from when on it may be sent a request that may run only once."""
-        if not self.failures:
+    def non_idempotent_from_s(self) -> float:
+        """Return when non-idempotent requests are allowed again, in seconds."""
+        if not self.consecutive_failures:
             return float("-inf")
-        paused_until_s = self.until_s if self.is_open() else self.failed_s
-        return paused_until_s + ONCE_PAUSE_S
+        pause_end_s = self.open_until_s if self.is_open() else self.last_failure_s
+        return pause_end_s + NON_IDEMPOTENT_PAUSE_S
 
     def on_start(self) -> None:
-        """Note that a request is sent; to a failed endpoint it is the probe."""
+        """Record that a request was sent; with an open circuit it is the probe."""
         if self.is_open():
             self.probing = True
 
     def on_success(self) -> None:
-        """Note a whole answer."""
-        self.failures = 0
-        self.pause_s = FIRST_PAUSE_S
+        """Close the circuit after a complete answer."""
+        self.consecutive_failures = 0
+        self.pause_s = INITIAL_PAUSE_S
         self.probing = False
 
     def on_failure(self, now_s: float, reason: str) -> None:
-        """Note a failed attempt."""
+        """Record a failed attempt.
+
+        Parameters
+        ----------
+        now_s : float
+            The present time, in seconds.
+        reason : str
+            How it failed; only `ENDPOINT_FAULT_REASONS` count.
+        """
         was_probe = self.probing
         self.probing = False
-        if reason not in BLAMED:
+        if reason not in ENDPOINT_FAULT_REASONS:
             return
-        self.failures += 1
-        self.failed_s = now_s
+        self.consecutive_failures += 1
+        self.last_failure_s = now_s
         if not self.is_open():
             return
         if was_probe:
-            self.pause_s = min(LAST_PAUSE_S, 2.0 * self.pause_s)
-        self.until_s = now_s + self.pause_s
+            self.pause_s = min(MAX_PAUSE_S, 2.0 * self.pause_s)
+        self.open_until_s = now_s + self.pause_s
--- a/libs/policy/gypsumusher_policy/placement.py
+++ b/libs/policy/gypsumusher_policy/placement.py
@@ -1,38 +1,41 @@
-"""Which endpoint gets a request: the least loaded few, then cache and zone.
+"""Placement of requests: endpoints ordered by load, then cache hits and zone.
 
-Made for lagging reports and several hosts that decide at once: each keeps its
-endpoints ordered by load, looks at the first few only, and draws between them, so
-that a decision costs the logarithm of the cell's replicas and the hosts don't all
-turn to the same idle engine.
+Load reports lag and several hosts decide at the same time. Each host therefore keeps
+the endpoints of a role ordered by load, considers only the first few, and draws at
+random among them. A decision costs the logarithm of the number of replicas in a cell,
+and the hosts do not all choose the same idle endpoint.
 """
 
 from bisect import bisect_left, insort
 
 from gypsumusher_policy.endpoint_state import EndpointState
-from gypsumusher_policy.queueing import LaneKey
-
-# Endpoints looked at for one decision, from the least loaded on.
-SHORTLIST = 4
-# Prompt processing that may wait on an engine, in seconds. More would put an urgent
-# prompt behind it on engines that process a prompt whole, less would leave the
-# engine idle for the time that a decision takes to reach it.
-PREFILL_WINDOW_S = 1.0
-# The same for the first class, in seconds: engines honour priorities, so that urgent
-# work passes what waits there, and only a queue of its own kind holds it up.
-URGENT_WINDOW_S = 5.0
-# The same for work that is mostly output: it takes little prompt processing and would
-# otherwise leave the decode engines idle while prompts queue up.
-OUTPUT_WINDOW_S = 1.5
-# Requests on an engine for each batch slot. Above 1 some wait there, so that a slot
-# is filled again at once and not after the way to a host and back.
-FULLNESS = 1.5
-# Share of an engine's KV cache beyond which only urgent work is sent to it: prompts
-# that wait for their second stage hold it.
-KV_SHARE = 0.8
-# A cached prefix counts as this many seconds of load for each second of prompt
-# processing that it saves, and another zone as this many seconds.
-CACHE_WORTH = 1.0
-FAR_ZONE_S = 0.01
+from gypsumusher_policy.queueing import QueueKey
+
+# Endpoints of a role considered for one request, least loaded first.
+MAX_CANDIDATES = 4
+# Prefill backlog above which an endpoint gets no more prefill-heavy requests, in
+# seconds. A larger backlog would delay urgent prompts on engines that do not
+# interrupt a prefill; a smaller one would leave the engine idle until the next
+# decision reaches it.
+MAX_PREFILL_BACKLOG_S = 1.0
+# The same limit for requests of rank 0, in seconds. It is higher because engines
+# honour priorities: only other rank 0 requests delay an urgent one.
+MAX_URGENT_PREFILL_BACKLOG_S = 5.0
+# The same limit for decode-heavy requests, in seconds. It is higher because they add
+# little to the backlog, and holding them back would leave decode engines idle while
+# prompts are queued.
+MAX_DECODE_HEAVY_PREFILL_BACKLOG_S = 1.5
+# Slot utilisation above which an endpoint gets no more non-urgent decode work. Above
+# 1, some requests wait on the engine, so that a freed slot is reused at once instead
+# of after a round trip to the host.
+MAX_SLOT_UTILISATION = 1.5
+# Share of an endpoint's KV cache above which it gets only urgent requests: prompts
+# that wait for decode still hold their cache.
+MAX_KV_SHARE = 0.8
+# Seconds of load that one second of saved prefill offsets in the placement cost.
+CACHE_HIT_WEIGHT = 1.0
+# Placement cost of an endpoint in another zone, in seconds of load.
+CROSS_ZONE_COST_S = 0.01
 
 
 class EndpointIndex:
@@ -43,78 +46,112 @@
 
     def add(self, state: EndpointState) -> None:
         """Insert an endpoint."""
-        state.load_key = (state.load(), state.name, state.role)
-        insort(self.by_role[state.role], (state.load_key, state), key=_first)
+        state.index_key = (state.load(), state.name, state.role)
+        insort(self.by_role[state.role], (state.index_key, state), key=_index_key)
 
     def remove(self, state: EndpointState) -> None:
-        """Take an endpoint out."""
-        row = self.by_role[state.load_key[2]]
-        del row[bisect_left(row, state.load_key, key=_first)]
-        state.load_key = None
-
-    def set_member(self, state: EndpointState, member: bool) -> None:
-        """Let an endpoint stand in the index, or not: a leaving one gets no work."""
-        if state.load_key is not None:
+        """Remove an endpoint."""
+        entries = self.by_role[state.index_key[2]]
+        del entries[bisect_left(entries, state.index_key, key=_index_key)]
+        state.index_key = None
+
+    def set_indexed(self, state: EndpointState, indexed: bool) -> None:
+        """Insert or remove an endpoint; a leaving one must not get requests."""
+        if state.index_key is not None:
             self.remove(state)
-        if member:
+        if indexed:
             self.add(state)
 
     def update(self, state: EndpointState) -> None:
-        """Put an endpoint where its present load belongs."""
-        if state.load_key is None:
+        """Move an endpoint to the position of its present load."""
+        if state.index_key is None:
             return
         self.remove(state)
         self.add(state)
 
-    def shortlist(
-        self, role: str, now_s: float, idempotent: bool, tried: set[str]
+    def candidates(
+        self, role: str, now_s: float, idempotent: bool, excluded: set[str]
     ) -> list[EndpointState]:
-        """Return the least loaded endpoints of a role that take such a request."""
-        chosen = []
+        """Return the least loaded endpoints of a role that accept a request.
+
+        Parameters
+        ----------
+        role : {"prefill", "decode", "mixed"}
+            Role of the endpoints.
+        now_s : float
+            The present time, in seconds.
+        idempotent : bool
+            Whether the request may run more than once.
+        excluded : set of str
+            Names of endpoints to skip.
+        """
+        accepting = []
         for _, state in self.by_role[role]:
-            if state.name in tried or not state.takes_work(now_s, idempotent):
+            if state.name in excluded or not state.accepts_work(now_s, idempotent):
                 continue
-            chosen.append(state)
-            if len(chosen) >= SHORTLIST:
+            accepting.append(state)
+            if len(accepting) >= MAX_CANDIDATES:
                 break
-        return chosen
+        return accepting
 
 
-def _first(pair):
-    return pair[0]
+def _index_key(entry):
+    return entry[0]
 
 
-def has_prefill_room(state: EndpointState, key: LaneKey, kv_tokens: int) -> bool:
-    """Say whether an endpoint can process one more prompt.
+def has_prefill_capacity(state: EndpointState, key: QueueKey, kv_tokens: int) -> bool:
+    """Return whether an endpoint can take one more prompt.
 
     Parameters
     ----------
     state : EndpointState
         The endpoint.
-    key : LaneKey
-        The request's class and kind; rank 0 is held back by little.
+    key : QueueKey
+        Rank and kind of the request; only the urgent backlog limit applies to rank 0.
     kv_tokens : int
         KV cache that the request needs, in tokens.
     """
     if state.running() == 0:
         return True
     if key.rank == 0:
-        return state.backlog_s() < URGENT_WINDOW_S
-    if state.kv_tokens() + kv_tokens > KV_SHARE * state.kv_limit_tokens:
+        return state.prefill_backlog_s() < MAX_URGENT_PREFILL_BACKLOG_S
+    if state.kv_tokens() + kv_tokens > MAX_KV_SHARE * state.kv_limit_tokens:
         return False
-    window_s = PREFILL_WINDOW_S if key.mostly_prompt else OUTPUT_WINDOW_S
-    return state.backlog_s() < window_s
+    max_backlog_s = (
+        MAX_PREFILL_BACKLOG_S
+        if key.prefill_heavy
+        else MAX_DECODE_HEAVY_PREFILL_BACKLOG_S
+    )
+    return state.prefill_backlog_s() < max_backlog_s
 
 
-def has_decode_room(state: EndpointState, key: LaneKey) -> bool:
-    """Say whether an endpoint can generate one more answer soon."""
-    # Urgent work is never held for a slot: second stages of other classes may stand
-    # before the engine in any number, and its priority takes it past them.
-    return key.rank == 0 or state.fullness() < FULLNESS
+def has_decode_capacity(state: EndpointState, key: QueueKey) -> bool:
+    """Return whether an endpoint can soon decode one more answer.
+
+    Parameters
+    ----------
+    state : EndpointState
+        The endpoint.
+    key : QueueKey
+        Rank and kind of the request.
+    """
+    # Requests of rank 0 do not wait for a slot: decode stages of other classes may
+    # queue on the engine in any number, and the engine's priorities let rank 0 pass.
+    return key.rank == 0 or state.slot_utilisation() < MAX_SLOT_UTILISATION
 
 
-def score(state: EndpointState, zone: str, cached_tokens: int) -> float:
-    """Return the cost by which the shortlisted endpoints are compared, in seconds."""
-    saved_s = CACHE_WORTH * cached_tokens / state.prefill_tokens_per_s
-    far_s = 0.0 if state.zone == zone else FAR_ZONE_S
-    return state.load() + far_s - saved_s
+def placement_cost_s(state: EndpointState, zone: str, cached_tokens: int) -> float:
+    """Return the cost by which candidate endpoints are compared, in seconds.
+
+    Parameters
+    ----------
+    state : EndpointState
+        The endpoint.
+    zone : str
+        Availability zone of the host.
+    cached_tokens : int
+        Prompt tokens that the endpoint has in its KV cache.
+    """
+    saved_s = CACHE_HIT_WEIGHT * cached_tokens / state.prefill_tokens_per_s
+    zone_cost_s = 0.0 if state.zone == zone else CROSS_ZONE_COST_S
+    return state.load() + zone_cost_s - saved_s
--- a/libs/policy/gypsumusher_policy/prefix_index.py
+++ b/libs/policy/gypsumusher_policy/prefix_index.py
@@ -1,52 +1,79 @@
-"""Which endpoint holds which prompt prefix: a hint that may be late or have gaps."""
+"""Index from prompt prefixes to the endpoints whose KV cache holds them.
+
+The index is a placement hint: it is built from cache events of the engines, which may
+arrive late or be lost.
+"""
 
 from collections import OrderedDict
 
-# One entry takes about 200 bytes here, so that the table stays under 8 MB a
-# deployment and host.
+# An entry takes about 200 bytes, so the index stays under 8 MB per deployment and
+# host.
 MAX_PREFIXES = 40_000
-# Endpoints remembered for one prefix: more than these make no better choice.
-MAX_HOLDERS = 4
+# Endpoints kept for one prefix: more of them would not improve the placement.
+MAX_ENDPOINTS_PER_PREFIX = 4
+
 
+class PrefixIndex:
+    """Prefix hashes with the endpoints that are expected to hold them in cache.
 
-class CacheTable:
-    """Prefix hashes and the endpoints that are thought to hold them."""
+    Parameters
+    ----------
+    max_prefixes : int
+        Prefixes kept; beyond that, the least recently added one is evicted.
+    """
 
     def __init__(self, max_prefixes: int = MAX_PREFIXES):
         self.max_prefixes = max_prefixes
-        self.holders = OrderedDict()
+        self.endpoints_by_prefix = OrderedDict()
 
     def add(self, endpoint: str, prefix_hash: int) -> None:
-        """Note that an endpoint holds a prefix."""
-        names = self.holders.get(prefix_hash, ())
+        """Record that an endpoint holds a prefix."""
+        names = self.endpoints_by_prefix.get(prefix_hash, ())
         if endpoint not in names:
-            self.holders[prefix_hash] = (endpoint, *names)[:MAX_HOLDERS]
-        self.holders.move_to_end(prefix_hash)
-        if len(self.holders) > self.max_prefixes:
-            self.holders.popitem(last=False)
+            self.endpoints_by_prefix[prefix_hash] = (endpoint, *names)[
+                :MAX_ENDPOINTS_PER_PREFIX
+            ]
+        self.endpoints_by_prefix.move_to_end(prefix_hash)
+        if len(self.endpoints_by_prefix) > self.max_prefixes:
+            self.endpoints_by_prefix.popitem(last=False)
 
     def remove(self, endpoint: str, prefix_hash: int) -> None:
-        """Note that an endpoint has dropped a prefix."""
-        names = self.holders.get(prefix_hash, ())
+        """Record that an endpoint has evicted a prefix."""
+        names = self.endpoints_by_prefix.get(prefix_hash, ())
         if endpoint not in names:
             return
-        rest = tuple(name for name in names if name != endpoint)
-        if rest:
-            self.holders[prefix_hash] = rest
+        remaining = tuple(name for name in names if name != endpoint)
+        if remaining:
+            self.endpoints_by_prefix[prefix_hash] = remaining
             return
-        del self.holders[prefix_hash]
+        del self.endpoints_by_prefix[prefix_hash]
+
+    def longest_match(
+        self, prefix_hashes: tuple[int, ...]
+    ) -> tuple[tuple[str, ...], int]:
+        """Return the endpoints with the longest known prefix, and its block count.
+
+        The hashes are chained, so whoever holds a prefix holds all shorter ones and a
+        binary search finds the longest. If the index lacks some of the shorter
+        prefixes, the search may return a shorter match, which is still correct.
 
-    def longest(self, prefix_hashes: tuple[int, ...]) -> tuple[tuple[str, ...], int]:
-        """Return the holders of the longest known prefix, and its number of parts.
+        Parameters
+        ----------
+        prefix_hashes : tuple of int
+            Chained hashes of a prompt's prefixes, shortest first.
 
-        The hashes are chained, so a binary search finds the longest one in a table
-        without gaps; with a gap it finds a shorter prefix, which is still true.
+        Returns
+        -------
+        endpoints : tuple of str
+            Names of the endpoints; empty if no prefix is known.
+        n_blocks : int
+            Number of prefix blocks that match.
         """
         low, high = 0, len(prefix_hashes)
         names = ()
         while low < high:
             middle = (low + high) // 2
-            found = self.holders.get(prefix_hashes[middle])
+            found = self.endpoints_by_prefix.get(prefix_hashes[middle])
             if found is None:
                 high = middle
                 continue
--- a/libs/policy/gypsumusher_policy/quarantine.py
+++ b/libs/policy/gypsumusher_policy/quarantine.py
@@ -1,57 +1,74 @@
-"""Requests that crash the engine that runs them: suspects and convictions."""
+"""Detection of request content that crashes the engines that run it.
+
+Content is identified by its fingerprint and has one of three states. It is "suspect"
+if it was running on an engine that crashed, "convicted" if it has been found to crash
+engines, and "clear" otherwise.
+"""
 
 from collections import OrderedDict
 from collections.abc import Collection
 
 from gypsumusher_policy.types import Conviction
 
-# Crashes that convict: one may be the engine's own fault, and a third would cost
-# another engine.
+# Crashes after which a suspect is convicted. One crash may be the engine's own fault;
+# waiting for a third would cost another engine.
 CRASHES_TO_CONVICT = 2
-# The same for a content that was past its prompt at the last crash. What crashes
-# engines mostly does so at its prompt, and whatever else ran there, for another host
-# too, is likelier the cause: one engine more is the price of sparing an innocent.
-CRASHES_TO_CONVICT_LATE = 3
-# Suspicions kept; a crash adds at most a batch of them, and an old one only costs a
-# request some company.
+# The same limit for a suspect that had passed its prefill at the last crash. Content
+# that crashes engines mostly does so in prefill, so some other request on the engine,
+# perhaps of another host, is the more likely cause. Sparing harmless content costs
+# one more engine.
+CRASHES_TO_CONVICT_AFTER_PREFILL = 3
+# Suspects kept. A crash adds at most a batch of them; forgetting an old one only lets
+# that content run together with other requests again.
 MAX_SUSPECTS = 4096
-
-
-# Time for which a crash that a conviction has explained blames nobody else, in
-# seconds: the other hosts' word of it comes within that time.
-EXPLAINED_S = 5.0
-# Time for which a verdict waits for the other hosts' word of the same crash, in
-# seconds: three hosts noted one crash within 0.04 s of each other beside twelve busy
-# loops on eight cores.
+# Time after a conviction in which its crashes make no other content suspect, in
+# seconds: messages from other hosts about the same crash arrive within this time.
+# Reports of one engine's crash within this time also count as a single crash.
+CRASH_ATTRIBUTION_S = 5.0
+# Delay between a crash and its evaluation, in seconds, in which other hosts report
+# what they ran on the engine. Three hosts saw one crash within 0.04 s of each other
+# with twelve busy loops on eight cores.
 EVALUATION_DELAY_S = 0.5
 
 
 class Quarantine:
-    """Which request contents are suspected or convicted of crashing engines.
+    """Tracks which request content is suspected or convicted of crashing engines.
 
-    Guards against one request that crashes each engine in turn while its caller
-    sends it again. It shows as engines that crash one after another. Whatever ran on
-    a crashed engine is a suspect; suspects run apart from each other, so that a
-    second crash has one suspect alone, which is convicted and refused for good. The
-    others that were suspected for the same crashes are clear again at once.
+    Without it, one request that its caller keeps sending would crash one engine after
+    another. All content that was running on a crashed engine becomes suspect, and
+    suspects are run apart from each other, so that a second crash involves a single
+    suspect. That one is convicted, and all requests with its content are refused.
+    Other content that is suspect only because of the same crashes becomes clear.
 
-    A suspect that has got through its prompt runs on while the next one starts, on the
-    same engine where there is no other. Of several that a crash might convict, only
-    one that was alone at its prompt is; else none, and each is tried again.
+    A suspect that has passed its prefill keeps running while the next suspect starts,
+    on the same engine if there is no other. If a crash could convict several suspects,
+    only the one that was alone in prefill is convicted; if there is no such suspect,
+    none is, and all of them are tried again.
 
     Parameters
     ----------
     evaluation_delay_s : float
-        How long a verdict waits for the other hosts' word of the same crash, in
-        seconds; 0 where no other host has a word.
+        Delay between a crash and its evaluation, for reports from other hosts, in
+        seconds; 0 if there are no other hosts.
 
     Attributes
     ----------
     evaluation_due_s : float
-        When all crashes that are known by now can be judged.
+        Time at which all crashes known so far can be evaluated, in seconds.
     pending_crashes : dict of str to (float, dict of str to bool)
-        When each crash may be judged, and whether each content that it might convict
-        was past its prompt, by endpoint.
+        Crashes that wait for their evaluation, by endpoint: when it is due, and for
+        each content that may be convicted, whether it had passed its prefill.
+    running : dict of str to (dict of str to int)
+        Number of running requests, by endpoint and content.
+    past_prompt : dict of str to (set of str)
+        Running content that has passed its prefill, by endpoint.
+    suspects : dict of str to (list of (str, float))
+        Crashes of each suspect: endpoint and time, in seconds.
+    convictions : dict of str to str
+        Reason for each conviction, by content.
+    attributed_s : dict of str to float
+        Time at which a crash of each endpoint was attributed to convicted content,
+        in seconds.
     """
 
     def __init__(self, evaluation_delay_s: float = 0.0):
@@ -62,25 +79,37 @@
         self.past_prompt = {}
         self.suspects = OrderedDict()
         self.convictions = {}
-        self.explained_s = {}
+        self.attributed_s = {}
 
     def on_start(self, now_s: float, fingerprint: str, endpoint: str) -> None:
-        """Note that an endpoint began to run a content."""
+        """Record that an endpoint started to run a request with this content."""
         counts = self.running.setdefault(endpoint, {})
         counts[fingerprint] = counts.get(fingerprint, 0) + 1
 
     def on_first_token(self, fingerprint: str, endpoint: str) -> None:
-        """Note that a content's prompt has done an endpoint no harm."""
+        """Record that content has passed its prefill on an endpoint."""
         self.past_prompt.setdefault(endpoint, set()).add(fingerprint)
 
     def on_end(
         self, now_s: float, fingerprint: str, endpoint: str, completed: bool = False
     ) -> None:
-        """Note that an endpoint stopped running it; ``completed`` clears a suspect."""
+        """Record that an endpoint stopped running a request with this content.
+
+        Parameters
+        ----------
+        now_s : float
+            The present time, in seconds.
+        fingerprint : str
+            The content.
+        endpoint : str
+            Name of the endpoint.
+        completed : bool
+            Whether the answer was complete, which makes a suspect clear.
+        """
         counts = self.running.get(endpoint, {})
-        left = counts.get(fingerprint, 0) - 1
-        if left > 0:
-            counts[fingerprint] = left
+        remaining = counts.get(fingerprint, 0) - 1
+        if remaining > 0:
+            counts[fingerprint] = remaining
         else:
             counts.pop(fingerprint, None)
             self.past_prompt.get(endpoint, set()).discard(fingerprint)
@@ -88,19 +117,22 @@
             self.suspects.pop(fingerprint, None)
 
     def on_crash(self, now_s: float, endpoint: str) -> list[Conviction]:
-        """Note that an endpoint crashed; return the contents convicted by it."""
-        lost = {name: [endpoint] for name in self.running.pop(endpoint, {})}
+        """Record that an endpoint crashed; return the convictions that follow."""
+        suspicions = {name: [endpoint] for name in self.running.pop(endpoint, {})}
         past_prompt = self.past_prompt.pop(endpoint, set())
-        return self.on_suspicions(now_s, lost, past_prompt)
+        return self.on_suspicions(now_s, suspicions, past_prompt)
 
     def add_conviction(self, fingerprint: str, reason: str, now_s: float = 0.0) -> None:
-        """Take over a conviction, from a peer or the platform."""
+        """Convict content, also on behalf of a peer or the platform.
+
+        Content that is suspect only because of the same crashes becomes clear.
+        """
         self.convictions[fingerprint] = reason
-        lost = [endpoint for endpoint, _ in self.suspects.pop(fingerprint, ())]
-        for endpoint in lost:
-            self.explained_s[endpoint] = now_s
+        crashed = [endpoint for endpoint, _ in self.suspects.pop(fingerprint, ())]
+        for endpoint in crashed:
+            self.attributed_s[endpoint] = now_s
         for other, crashes in list(self.suspects.items()):
-            if {endpoint for endpoint, _ in crashes} <= set(lost):
+            if {endpoint for endpoint, _ in crashes} <= set(crashed):
                 del self.suspects[other]
 
     def status_of(self, fingerprint: str) -> str:
@@ -112,11 +144,11 @@
         return "clear"
 
     def suspicions(self) -> dict[str, list[str]]:
-        """Return the suspects and the endpoints lost with each, for the peers."""
-        found = {}
+        """Return the crashed endpoints of each suspect, in the form sent to peers."""
+        endpoints_by_suspect = {}
         for name, crashes in self.suspects.items():
-            found[name] = [endpoint for endpoint, _ in crashes]
-        return found
+            endpoints_by_suspect[name] = [endpoint for endpoint, _ in crashes]
+        return endpoints_by_suspect
 
     def on_suspicions(
         self,
@@ -124,7 +156,7 @@
         suspicions: dict[str, list[str]],
         past_prompt: Collection[str] = (),
     ) -> list[Conviction]:
-        """Take over suspicions, own or a peer's; return the contents convicted by them.
+        """Add suspicions of this host or a peer; return the convictions that follow.
 
         Parameters
         ----------
@@ -133,67 +165,75 @@
         suspicions : dict of str to list of str
             Endpoints that crashed while they ran each content.
         past_prompt : collection of str
-            The contents whose prompt the endpoint had got through.
+            Content that had passed its prefill on the endpoint.
         """
         for fingerprint, endpoints in suspicions.items():
             for endpoint in endpoints:
-                self._blame(now_s, fingerprint, endpoint)
+                self._add_suspicion(now_s, fingerprint, endpoint)
         for fingerprint, endpoints in suspicions.items():
             is_past_prompt = fingerprint in past_prompt
-            if not self._is_due(fingerprint, is_past_prompt):
+            if not self._has_enough_crashes(fingerprint, is_past_prompt):
                 continue
             for endpoint in endpoints:
                 due_s = now_s + self.evaluation_delay_s
-                _, names = self.pending_crashes.setdefault(endpoint, (due_s, {}))
-                names[fingerprint] = is_past_prompt
+                _, candidates = self.pending_crashes.setdefault(endpoint, (due_s, {}))
+                candidates[fingerprint] = is_past_prompt
                 self.evaluation_due_s = max(self.evaluation_due_s, due_s)
         return self.evaluate_due(now_s)
 
     def evaluate_due(self, now_s: float) -> list[Conviction]:
-        """Judge the crashes of which all hosts have had time to tell."""
-        convicts = []
-        for endpoint, (due_s, names) in list(self.pending_crashes.items()):
+        """Evaluate the crashes whose delay has passed; return the new convictions."""
+        convictions = []
+        for endpoint, (due_s, candidates) in list(self.pending_crashes.items()):
             if due_s > now_s:
                 continue
             del self.pending_crashes[endpoint]
-            convict = self._judge(now_s, names)
-            if convict is not None:
-                convicts.append(convict)
-        return convicts
-
-    def _judge(self, now_s, names):
-        """Convict the one content that can have caused a crash, or none.
-
-        Failure guarded against: an innocent suspect and the content that crashes
-        engines are lost together a second time, through one host or two. The first of
-        them would be convicted, and its conviction would explain the crashes and
-        clear the guilty one.
+            conviction = self._evaluate_crash(now_s, candidates)
+            if conviction is not None:
+                convictions.append(conviction)
+        return convictions
+
+    def _evaluate_crash(self, now_s, candidates):
+        """Convict the only content that can have caused a crash, if there is one.
+
+        A harmless suspect and the content that crashes engines may share a second
+        crash, through one host or two. Convicting the first of them found would
+        attribute the crashes to harmless content and make the harmful one clear.
         """
-        found = [name for name, past in names.items() if self._is_due(name, past)]
-        if len(found) > 1:
-            found = [name for name in found if not names[name]]
-        if len(found) != 1:
+        eligible = [
+            name
+            for name, is_past_prompt in candidates.items()
+            if self._has_enough_crashes(name, is_past_prompt)
+        ]
+        if len(eligible) > 1:
+            eligible = [name for name in eligible if not candidates[name]]
+        if len(eligible) != 1:
             return None
-        lost = tuple(endpoint for endpoint, _ in self.suspects[found[0]])
-        self.add_conviction(found[0], "crashed " + ",".join(lost), now_s)
-        return Conviction(found[0], lost)
+        crashed = tuple(endpoint for endpoint, _ in self.suspects[eligible[0]])
+        self.add_conviction(eligible[0], "crashed " + ",".join(crashed), now_s)
+        return Conviction(eligible[0], crashed)
 
-    def _is_due(self, fingerprint, is_past_prompt):
-        crashes = len(self.suspects.get(fingerprint, ()))
+    def _has_enough_crashes(self, fingerprint, is_past_prompt):
+        """Return whether content may be convicted by its number of crashes."""
+        n_crashes = len(self.suspects.get(fingerprint, ()))
         if is_past_prompt:
-            return crashes >= CRASHES_TO_CONVICT_LATE
-        return crashes >= CRASHES_TO_CONVICT
+            return n_crashes >= CRASHES_TO_CONVICT_AFTER_PREFILL
+        return n_crashes >= CRASHES_TO_CONVICT
 
-    def _blame(self, now_s, fingerprint, endpoint):
+    def _add_suspicion(self, now_s, fingerprint, endpoint):
+        """Record that content was running on an endpoint that crashed."""
         if fingerprint in self.convictions:
             return
-        if now_s - self.explained_s.get(endpoint, -EXPLAINED_S) < EXPLAINED_S:
+        if (
+            now_s - self.attributed_s.get(endpoint, -CRASH_ATTRIBUTION_S)
+            < CRASH_ATTRIBUTION_S
+        ):
             return
         crashes = self.suspects.setdefault(fingerprint, [])
-        for known, crashed_s in crashes:
-            # Several hosts tell of one crash; an engine that came back and crashed
-            # again is another.
-            if known == endpoint and now_s - crashed_s < EXPLAINED_S:
+        for crashed, crashed_s in crashes:
+            # Several hosts report the same crash; a later crash of the same engine,
+            # after its restart, counts separately.
+            if crashed == endpoint and now_s - crashed_s < CRASH_ATTRIBUTION_S:
                 return
         crashes.append((endpoint, now_s))
         if len(self.suspects) > MAX_SUSPECTS:
--- a/libs/policy/gypsumusher_policy/queueing.py
+++ b/libs/policy/gypsumusher_policy/queueing.py
@@ -1,8 +1,9 @@
-"""The queue of a host: strict by class, fair between tenants, earliest deadline first.
+"""Queue of a host: strict by class, fair between tenants, earliest deadline first.
 
-Made for long saturation by one class or one tenant: without the class order a
-counter's check would wait behind letter bundles, and without the fair share one
-tenant's batch would push every other tenant past its deadline.
+Each rank has up to two queues, one for prefill-heavy and one for decode-heavy
+requests. Without strict class order, urgent interactive requests would wait behind
+batches when one class saturates the engines. Without fair shares, a batch of one
+tenant would push the requests of all other tenants past their deadlines.
 """
 
 import heapq
@@ -11,7 +12,7 @@
 from gypsumusher_policy.admission import Work
 from gypsumusher_policy.types import Request
 
-NO_WORK = Work(0.0, 0.0)
+ZERO_WORK = Work(0.0, 0.0)
 
 
 def add_work(one: Work, other: Work) -> Work:
@@ -19,7 +20,7 @@
     return Work(one.prefill_s + other.prefill_s, one.decode_s + other.decode_s)
 
 
-class Queued(NamedTuple):
+class QueuedRequest(NamedTuple):
     """A request that waits on the host.
 
     Parameters
@@ -29,168 +30,202 @@
     rank : int
         Rank of its class.
     work : Work
-        Engine seconds that it is expected to take.
+        Expected engine time.
     latest_start_s : float
-        Time after which it can't be on time any longer.
-    order_s : float
-        Its place within its tenant's work: the deadline, or earlier.
+        Last start time at which it still meets its deadline, in seconds.
+    sort_s : float
+        Time by which the requests of a tenant are ordered, in seconds: the deadline,
+        or earlier for a request with a retry reservation.
     """
 
     request: Request
     rank: int
     work: Work
     latest_start_s: float
-    order_s: float
+    sort_s: float
 
 
-class LaneKey(NamedTuple):
-    """Where a request waits: its class's rank, and which engines it needs most.
+class QueueKey(NamedTuple):
+    """Key of the queue in which a request waits.
 
-    Work that is mostly prompt and work that is mostly output wait apart, so that a
-    shortage of engines for the one doesn't leave the engines for the other idle.
+    Prefill-heavy and decode-heavy requests wait in separate queues, so that a
+    shortage of engines for one kind does not leave the engines for the other idle.
+
+    Parameters
+    ----------
+    rank : int
+        Rank of the request's class.
+    prefill_heavy : bool
+        Whether prefill takes more engine time than decode.
     """
 
     rank: int
-    mostly_prompt: bool
+    prefill_heavy: bool
+
 
+def queue_key_of(rank: int, work: Work) -> QueueKey:
+    """Return the queue key of a request of a rank with this expected work."""
+    return QueueKey(rank, work.prefill_s > work.decode_s)
 
-def lane_of(rank: int, work: Work) -> LaneKey:
-    """Return the lane of a request."""
-    return LaneKey(rank, work.prefill_s > work.decode_s)
 
+class FairQueue:
+    """The waiting requests of one queue key.
 
-class ClassLane:
-    """The waiting requests of one lane.
+    Tenants are served by start-time fair queueing: next comes the tenant that has
+    received the least service in proportion to its weight. Within a tenant, the
+    request with the earliest sort time is served first.
 
-    Between tenants the one with the least service per weight goes first (start-time
-    fair queueing); within a tenant the earliest deadline goes first.
+    Attributes
+    ----------
+    heap_by_tenant : dict of str to list
+        Heap of the waiting requests of each tenant.
+    service_s : dict of str to float
+        Service received by each tenant, in engine seconds divided by its weight.
+    tenant_heap : list of (float, str)
+        Heap of the tenants with waiting requests, by service.
+    virtual_time_s : float
+        ``service_s`` of the tenant that was served last, before that service.
     """
 
     def __init__(self):
-        self.heaps = {}
-        self.served_s = {}
-        self.order = []
-        self.virtual_s = 0.0
+        self.heap_by_tenant = {}
+        self.service_s = {}
+        self.tenant_heap = []
+        self.virtual_time_s = 0.0
 
     def push(self, item, weight):
         """Add an item of a tenant with fair-share ``weight``."""
         tenant = item.request.tenant
-        heap = self.heaps.get(tenant)
+        heap = self.heap_by_tenant.get(tenant)
         if heap is None:
-            heap = self.heaps[tenant] = []
-            # A tenant that was idle gets no credit for the time it didn't ask:
-            # otherwise its first burst would shut out everyone else.
-            served_s = max(self.served_s.get(tenant, 0.0), self.virtual_s)
-            self.served_s[tenant] = served_s
-            heapq.heappush(self.order, (served_s, tenant))
-        key = (item.order_s, item.request.request_id)
+            heap = self.heap_by_tenant[tenant] = []
+            # A tenant earns no credit while it is idle; otherwise its first burst
+            # would block all other tenants.
+            service_s = max(self.service_s.get(tenant, 0.0), self.virtual_time_s)
+            self.service_s[tenant] = service_s
+            heapq.heappush(self.tenant_heap, (service_s, tenant))
+        key = (item.sort_s, item.request.request_id)
         heapq.heappush(heap, (key, item, weight))
 
-    def peek(self, live):
-        """Return the item to serve next, or None; forget those not in ``live``."""
-        while self.order:
-            _, tenant = self.order[0]
-            heap = self.heaps[tenant]
-            while heap and live.get(heap[0][1].request.request_id) is not heap[0][1]:
+    def peek(self, waiting):
+        """Return the item to serve next, or None if there is none.
+
+        Items that are no longer in ``waiting``, a dict by request id, are discarded.
+        """
+        while self.tenant_heap:
+            _, tenant = self.tenant_heap[0]
+            heap = self.heap_by_tenant[tenant]
+            while heap and waiting.get(heap[0][1].request.request_id) is not heap[0][1]:
                 heapq.heappop(heap)
             if heap:
                 return heap[0][1]
-            heapq.heappop(self.order)
-            del self.heaps[tenant]
-            if self.served_s[tenant] <= self.virtual_s:
-                del self.served_s[tenant]
-        self.served_s.clear()
-        self.virtual_s = 0.0
+            heapq.heappop(self.tenant_heap)
+            del self.heap_by_tenant[tenant]
+            if self.service_s[tenant] <= self.virtual_time_s:
+                del self.service_s[tenant]
+        self.service_s.clear()
+        self.virtual_time_s = 0.0
         return None
 
     def pop(self):
-        """Remove the item that `peek` has just returned."""
-        served_s, tenant = heapq.heappop(self.order)
-        _, item, weight = heapq.heappop(self.heaps[tenant])
-        self.virtual_s = served_s
-        served_s += sum(item.work) / weight
-        self.served_s[tenant] = served_s
-        heapq.heappush(self.order, (served_s, tenant))
+        """Remove and return the item that `peek` has just returned."""
+        service_s, tenant = heapq.heappop(self.tenant_heap)
+        _, item, weight = heapq.heappop(self.heap_by_tenant[tenant])
+        self.virtual_time_s = service_s
+        service_s += sum(item.work) / weight
+        self.service_s[tenant] = service_s
+        heapq.heappush(self.tenant_heap, (service_s, tenant))
         return item
 
 
 class RequestQueue:
-    """All waiting requests of one host and deployment."""
+    """All waiting requests of one host and deployment.
+
+    Attributes
+    ----------
+    waiting : dict of str to QueuedRequest
+        The waiting requests by id.
+    fair_queues : dict of QueueKey to FairQueue
+        Queues in the order in which they are served.
+    work_by_rank : dict of int to Work
+        Sum of the waiting work of each rank.
+    """
 
     def __init__(self):
-        self.live = {}
-        self.lanes = {}
+        self.waiting = {}
+        self.fair_queues = {}
         self.work_by_rank = {}
-        self._latest = []
+        self._expiry_heap = []
 
     def __len__(self):
-        return len(self.live)
+        return len(self.waiting)
 
-    def push(self, item: Queued, weight: float) -> None:
+    def push(self, item: QueuedRequest, weight: float) -> None:
         """Add an item; ``weight`` is its tenant's fair share."""
-        self.live[item.request.request_id] = item
-        key = lane_of(item.rank, item.work)
-        lane = self.lanes.get(key)
-        if lane is None:
-            lane = self.lanes[key] = ClassLane()
-            self.lanes = dict(sorted(self.lanes.items()))
-        lane.push(item, weight)
+        self.waiting[item.request.request_id] = item
+        key = queue_key_of(item.rank, item.work)
+        fair_queue = self.fair_queues.get(key)
+        if fair_queue is None:
+            fair_queue = self.fair_queues[key] = FairQueue()
+            self.fair_queues = dict(sorted(self.fair_queues.items()))
+        fair_queue.push(item, weight)
         key = (item.latest_start_s, item.request.request_id)
-        heapq.heappush(self._latest, (key, item))
-        known = self.work_by_rank.get(item.rank, NO_WORK)
-        self.work_by_rank[item.rank] = add_work(known, item.work)
-
-    def peek(self, key: LaneKey) -> Queued | None:
-        """Return the item of this lane to serve next."""
-        return self.lanes[key].peek(self.live)
-
-    def pop(self, key: LaneKey) -> Queued:
-        """Remove the item that `peek` has just returned."""
-        item = self.lanes[key].pop()
-        self._forget(item)
+        heapq.heappush(self._expiry_heap, (key, item))
+        queued_work = self.work_by_rank.get(item.rank, ZERO_WORK)
+        self.work_by_rank[item.rank] = add_work(queued_work, item.work)
+
+    def peek(self, key: QueueKey) -> QueuedRequest | None:
+        """Return the item of a queue to serve next, or None if it is empty."""
+        return self.fair_queues[key].peek(self.waiting)
+
+    def pop(self, key: QueueKey) -> QueuedRequest:
+        """Remove and return the item that `peek` has just returned."""
+        item = self.fair_queues[key].pop()
+        self._discard(item)
         return item
 
-    def remove(self, request_id: str) -> Queued | None:
-        """Remove one request wherever it stands; None when it isn't waiting."""
-        item = self.live.get(request_id)
+    def remove(self, request_id: str) -> QueuedRequest | None:
+        """Remove and return a request; None if it is not waiting."""
+        item = self.waiting.get(request_id)
         if item is not None:
-            self._forget(item)
+            self._discard(item)
         return item
 
-    def pop_late(self, now_s: float) -> Queued | None:
-        """Remove one item that can't be on time any longer; None when all can."""
-        due_s = self.next_late_s()
-        if due_s is None or due_s > now_s:
+    def pop_expired(self, now_s: float) -> QueuedRequest | None:
+        """Remove and return an item past its latest start; None if there is none."""
+        expiry_s = self.next_expiry_s()
+        if expiry_s is None or expiry_s > now_s:
             return None
-        _, item = heapq.heappop(self._latest)
-        self._forget(item)
+        _, item = heapq.heappop(self._expiry_heap)
+        self._discard(item)
         return item
 
-    def next_late_s(self) -> float | None:
-        """Return when the next item becomes too late, or None."""
-        while self._latest:
-            key, item = self._latest[0]
-            if self.live.get(key[1]) is item:
+    def next_expiry_s(self) -> float | None:
+        """Return the earliest latest start time of a waiting item, or None."""
+        while self._expiry_heap:
+            key, item = self._expiry_heap[0]
+            if self.waiting.get(key[1]) is item:
                 return key[0]
-            heapq.heappop(self._latest)
+            heapq.heappop(self._expiry_heap)
         return None
 
-    def ahead(self, rank: int) -> Work:
-        """Return the work that waits at this rank or before it."""
-        total = NO_WORK
+    def work_ahead(self, rank: int) -> Work:
+        """Return the waiting work of a rank and of all ranks served before it."""
+        total = ZERO_WORK
         for other, work in self.work_by_rank.items():
             if other <= rank:
                 total = add_work(total, work)
         return total
 
-    def _forget(self, item):
-        del self.live[item.request.request_id]
-        known = self.work_by_rank[item.rank]
+    def _discard(self, item):
+        """Stop counting an item; `peek` and `next_expiry_s` drop its heap entries."""
+        del self.waiting[item.request.request_id]
+        queued_work = self.work_by_rank[item.rank]
         self.work_by_rank[item.rank] = Work(
-            max(0.0, known.prefill_s - item.work.prefill_s),
-            max(0.0, known.decode_s - item.work.decode_s),
+            max(0.0, queued_work.prefill_s - item.work.prefill_s),
+            max(0.0, queued_work.decode_s - item.work.decode_s),
         )
-        if not self.live:
-            # The sums are exact again whenever nothing waits, so that rounding
-            # errors can't add up over weeks.
+        if not self.waiting:
+            # Resetting the sums whenever the queue is empty keeps rounding errors
+            # from adding up over weeks.
             self.work_by_rank.clear()
--- a/libs/policy/gypsumusher_policy/retry_budget.py
+++ b/libs/policy/gypsumusher_policy/retry_budget.py
@@ -1,16 +1,16 @@
-"""The retry budget of a deployment on one host.
+"""Retry budget of a deployment on one host.
 
-Made for an engine or a zone that fails under full load: there each retry takes the
-place of a first attempt, so unbounded retries turn a partial failure into a whole one.
+When an engine or a zone fails under full load, each retry takes the place of a first
+attempt, so that unbounded retries turn a partial failure into a total one.
 """
 
-# Retries that a quiet deployment may always make, so that the ratio doesn't round
-# down to none where few requests arrive.
-FLOOR_RETRIES = 10.0
+# Initial retries of a deployment, and least capacity of its budget. Without them, a
+# deployment with few requests could not retry at all.
+MIN_BUDGET_RETRIES = 10.0
 
 
 class RetryBudget:
-    """A bucket that each first attempt fills by a fraction and each retry empties.
+    """Token bucket: first attempts add a fraction of a token, retries take one.
 
     Parameters
     ----------
@@ -20,16 +20,16 @@
 
     def __init__(self, ratio: float):
         self.ratio = ratio
-        self.tokens = FLOOR_RETRIES
+        self.tokens = MIN_BUDGET_RETRIES
 
     def on_first_attempt(self) -> None:
-        """Count a first attempt."""
-        # The bound keeps a quiet week from saving up a retry storm.
-        limit = max(FLOOR_RETRIES, 100.0 * self.ratio)
+        """Add the share of a retry that a first attempt earns."""
+        # The limit keeps a long time without failures from funding a retry storm.
+        limit = max(MIN_BUDGET_RETRIES, 100.0 * self.ratio)
         self.tokens = min(limit, self.tokens + self.ratio)
 
     def take(self) -> bool:
-        """Use one retry; False when the budget is spent."""
+        """Take one retry from the budget; return False if the budget is empty."""
         if self.tokens < 1.0:
             return False
         self.tokens -= 1.0
@@ -37,10 +37,17 @@
 
 
 def may_retry(ran: str, idempotent: bool) -> bool:
-    """Say whether another attempt can't make the request run twice.
+    """Return whether a retry is safe, so that no request runs twice by mistake.
 
-    Guards against a booking that reaches two crews: the first attempt's connection
-    broke after it was sent, so it may have run. Only an attempt of which nothing ran,
-    or a request that may run twice, is repeated.
+    An attempt whose connection broke after the request was sent may have run. A retry
+    is safe only if nothing of the attempt ran or the request is idempotent; otherwise
+    a booking, for example, could be made twice.
+
+    Parameters
+    ----------
+    ran : {"no", "unknown"}
+        Whether any part of the attempt may have run.
+    idempotent : bool
+        Whether the request may run more than once.
     """
     return ran == "no" or idempotent
--- a/libs/policy/gypsumusher_policy/retry_reservations.py
+++ b/libs/policy/gypsumusher_policy/retry_reservations.py
@@ -1,37 +1,48 @@
-"""Which refused contents were told to come back, and when.
+"""Priority for callers that retry at the time given in a refusal.
 
-Made for a long overload: a caller that obeys its retry-after would meet the same queue
-as everyone else and be refused again, so that callers learn to hammer instead.
+During a long overload, a caller that honours its retry-after would otherwise meet the
+same queue as new requests and be refused again; callers would learn to retry early
+and often instead.
 """
 
 from collections import OrderedDict
 
-# Promises kept, at about 200 bytes each: some minutes of refusals at a host's rate.
-MAX_PROMISES = 5000
-# A promise holds for this long after its time, in seconds.
-KEPT_S = 60.0
+# Reservations kept, at about 200 bytes each: enough for some minutes of refusals at
+# the rate of a host.
+MAX_RESERVATIONS = 5000
+# Time after the retry-after for which a reservation is valid, in seconds.
+RESERVATION_VALID_S = 60.0
 
 
-class Promises:
-    """Contents and the times from which they go first in their class."""
+class RetryReservations:
+    """Fingerprints of refused requests, with the times given for their retries."""
 
     def __init__(self):
-        self.due_s = OrderedDict()
+        self.retry_at_s = OrderedDict()
 
-    def add(self, fingerprint: str, due_s: float) -> None:
-        """Note that a caller was told to come back at a time."""
-        self.due_s[fingerprint] = due_s
-        self.due_s.move_to_end(fingerprint)
-        if len(self.due_s) > MAX_PROMISES:
-            self.due_s.popitem(last=False)
+    def add(self, fingerprint: str, retry_at_s: float) -> None:
+        """Reserve a place for a refused request.
 
-    def take(self, now_s: float, fingerprint: str) -> bool:
-        """Say whether this content comes back as it was told; once each.
+        Parameters
+        ----------
+        fingerprint : str
+            Fingerprint of the refused request.
+        retry_at_s : float
+            Time at which its caller was told to retry, in seconds.
+        """
+        self.retry_at_s[fingerprint] = retry_at_s
+        self.retry_at_s.move_to_end(fingerprint)
+        if len(self.retry_at_s) > MAX_RESERVATIONS:
+            self.retry_at_s.popitem(last=False)
+
+    def redeem(self, now_s: float, fingerprint: str) -> bool:
+        """Use up a request's reservation; return whether there was a valid one.
 
-        Whoever comes back sooner gets nothing for it.
+        A retry before the given time does not count and leaves the reservation
+        unused.
         """
-        due_s = self.due_s.get(fingerprint)
-        if due_s is None or now_s < due_s:
+        retry_at_s = self.retry_at_s.get(fingerprint)
+        if retry_at_s is None or now_s < retry_at_s:
             return False
-        del self.due_s[fingerprint]
-        return now_s <= due_s + KEPT_S
+        del self.retry_at_s[fingerprint]
+        return now_s <= retry_at_s + RESERVATION_VALID_S
--- a/libs/policy/gypsumusher_policy/rollout.py
+++ b/libs/policy/gypsumusher_policy/rollout.py
@@ -1,20 +1,21 @@
-"""Which engines load a version next, under the weight store's rate limit."""
+"""Order in which engines load a model version, limited by the weight store's rate."""
 
 import math
 
 from gypsumusher_policy.types import DeploymentPolicy, ModelLoadOrder
 
-# Share of an engine that demand may fill: above it, queues grow at each burst.
-FULL_SHARE = 0.85
+# Utilisation to which demand may load the engines: above it, queues grow with every
+# burst.
+TARGET_UTILISATION = 0.85
 
 
 class RolloutPlanner:
-    """Plans loads of one deployment's target version.
+    """Plans the model loads that bring a deployment to its target version.
 
     Parameters
     ----------
     policy : DeploymentPolicy
-        ``loads_at_once`` bounds the loads that run at the same time.
+        Settings; ``loads_at_once`` limits the concurrent loads.
     """
 
     def __init__(self, policy: DeploymentPolicy):
@@ -35,52 +36,54 @@
         now_s : float
             The present time, in seconds.
         engines : dict of str to (model, version, running)
-            What each engine has loaded (empty strings: nothing), and its load.
+            Loaded model and version of each engine (empty strings if none is
+            loaded), and its number of running requests.
         target : (model, version)
-            What all shall have.
+            Model and version that all engines should have.
         need_engines : int
-            Engines that must go on serving while others load.
+            Engines that have to keep serving while others load.
         busy : set of str
             Engines with an unfinished order.
 
         Returns
         -------
         list of ModelLoadOrder
-            Empty engines first, which take nothing away, then the least loaded.
+            Orders for engines without a model first, as these cost no capacity, then
+            for the others by number of running requests.
         """
-        waiting, serving = [], 0
+        waiting, n_serving = [], 0
         for name, (model, version, running) in sorted(engines.items()):
-            serves = bool(model) and name not in busy
-            serving += serves
+            is_serving = bool(model) and name not in busy
+            n_serving += is_serving
             if name in busy or (model, version) == target:
                 continue
-            waiting.append((serves, running, name))
+            waiting.append((is_serving, running, name))
         waiting.sort()
         orders = []
-        # The weight store's limit is shared by the fleet: more loads at once only
-        # make each slower, and take more engines away for longer.
-        room = self.policy.loads_at_once - len(busy)
-        for serves, _, name in waiting:
-            if len(orders) >= room:
+        # All engines share the rate limit of the weight store: more concurrent loads
+        # make each load slower and take more engines out of service for longer.
+        free_loads = self.policy.loads_at_once - len(busy)
+        for is_serving, _, name in waiting:
+            if len(orders) >= free_loads:
                 break
-            # A rollout must never take a deployment below what its load needs, so
-            # that a serving engine loads only when enough others serve on.
-            if serves and serving - 1 < need_engines:
+            # A serving engine loads only if enough other engines keep serving, so
+            # that a rollout never leaves less capacity than the demand needs.
+            if is_serving and n_serving - 1 < need_engines:
                 break
-            serving -= serves
+            n_serving -= is_serving
             orders.append(ModelLoadOrder(name, *target))
         return orders
 
 
 def engines_needed(demands: list[dict]) -> int:
-    """Return how many engines the present demand needs.
+    """Return the number of engines that the present demand needs.
 
     Parameters
     ----------
     demands : list of dict
-        What each host's ``Scheduler.demand`` says.
+        Result of `Scheduler.demand` of each host.
     """
-    need = 0.0
+    n_engines = 0.0
     for demand in demands:
-        need += demand["prefill_rate"] + demand["decode_rate"]
-    return math.ceil(need / FULL_SHARE)
+        n_engines += demand["prefill_rate"] + demand["decode_rate"]
+    return math.ceil(n_engines / TARGET_UTILISATION)
--- a/libs/policy/gypsumusher_policy/scheduler.py
+++ b/libs/policy/gypsumusher_policy/scheduler.py
@@ -1,25 +1,29 @@
-"""The decisions of one host for one deployment, from arrival to the last token."""
+"""Scheduler of one host for one deployment, from arrival to the last token."""
 
 from collections import OrderedDict
 
 from gypsumusher_policy import admission
 from gypsumusher_policy.admission import Capacity, Work
 from gypsumusher_policy.arrival_rates import DemandMeter
-from gypsumusher_policy.endpoint_state import REFUSED_PAUSE_S, EndpointState
-from gypsumusher_policy.in_flight import Flight
-from gypsumusher_policy.output_length import OutputEstimate
+from gypsumusher_policy.endpoint_state import REFUSAL_PAUSE_S, EndpointState
+from gypsumusher_policy.in_flight import InFlightRequest
+from gypsumusher_policy.output_length import OutputLengthEstimator
 from gypsumusher_policy.placement import (
     EndpointIndex,
-    has_decode_room,
-    has_prefill_room,
-    score,
+    has_decode_capacity,
+    has_prefill_capacity,
+    placement_cost_s,
 )
-from gypsumusher_policy.prefix_index import CacheTable
-from gypsumusher_policy.queueing import Queued, RequestQueue
+from gypsumusher_policy.prefix_index import PrefixIndex
+from gypsumusher_policy.queueing import QueuedRequest, RequestQueue
 from gypsumusher_policy.random_source import make_draw
 from gypsumusher_policy.retry_budget import RetryBudget, may_retry
-from gypsumusher_policy.retry_reservations import Promises
-from gypsumusher_policy.suspect_scheduling import SuspectList, host_turn, own_engine
+from gypsumusher_policy.retry_reservations import RetryReservations
+from gypsumusher_policy.suspect_scheduling import (
+    SuspectQueue,
+    choose_suspect_engine,
+    host_turn,
+)
 from gypsumusher_policy.types import (
     Action,
     DeploymentPolicy,
@@ -30,39 +34,61 @@
     Start,
 )
 
-# Attempts of one request: an engine that refuses is passed by, but a request that
-# three engines failed is likely the cause itself.
+# Attempts of one request, the first included. Engines that refuse or fail a request
+# are passed over, but a request that failed on three engines is likely the cause.
 MAX_ATTEMPTS = 3
-# Requests whose history is kept for `Scheduler.explain`.
-MAX_EXPLAINED = 2000
-# Characters that one prefix hash covers are about 64 tokens.
-PREFIX_TOKENS = 64
-# Retry-after of a refusal for which no endpoint is known, in seconds.
-NO_ENDPOINT_RETRY_S = 2.0
-# A peer that is silent for this long no longer shares the engines; its requests have
-# ended or have been given up by then.
-PEER_SILENT_S = 10.0
+# Requests whose decisions are kept for `Scheduler.explain`.
+MAX_HISTORIES = 2000
+# Prompt tokens covered by one prefix hash, approximately: the hashes cover blocks of
+# characters.
+TOKENS_PER_PREFIX_BLOCK = 64
+# Retry-after of a refusal when there is no endpoint to estimate a wait from, in
+# seconds.
+NO_ENDPOINT_RETRY_AFTER_S = 2.0
+# Time without a load update after which a peer no longer counts as sharing the
+# engines, in seconds: its requests have ended or have been abandoned by then.
+PEER_TIMEOUT_S = 10.0
 
 
 class Scheduler:
     """Admits, queues, places and retries the requests of one deployment.
 
-    It does no input or output and reads no clock: each call returns the actions that
-    it caused, and the caller carries them out.
+    It does no input or output and reads no clock: each call returns the actions to
+    carry out. Requests start at once if an endpoint has capacity and wait in a queue
+    otherwise.
 
     Parameters
     ----------
     policy : DeploymentPolicy
-        Settings in force.
+        Settings of the deployment.
     host : str
         Name of this entry host.
     zone : str
-        Its availability zone.
+        Availability zone of this host.
     seed : int
-        Seed of its draws.
+        Seed of the random placement.
     quarantine : Quarantine, optional
-        Consulted for each request; whoever owns it tells it of starts, ends and
-        crashes.
+        Gives the crash status of each request. Its owner reports starts, ends and
+        crashes to it; the scheduler reports first tokens.
+
+    Attributes
+    ----------
+    pending_decode : list of InFlightRequest
+        Requests that have passed prefill and wait for a decode endpoint.
+    peer_updated_s : dict of str to float
+        Time of the last load update from each peer, in seconds.
+    cell_host_names : list of str
+        Hosts that send work to these engines.
+    awaiting_decode_s : dict of int to float
+        Expected decode work, in engine seconds, of requests whose KV cache is still
+        on a prefill endpoint, by rank.
+    histories : dict of str to list of dict
+        Decisions on each recent request.
+    engine_rates : (float, float, int)
+        Prefill and decode rates, in tokens per second, and batch slots of the engine
+        that reported last; before the first report, the defaults of `EndpointState`.
+    pause_ends_s : set of float
+        Times at which an endpoint's pause ends, in seconds.
     """
 
     def __init__(
@@ -78,64 +104,65 @@
         self.zone = zone
         self.quarantine = quarantine
         self.draw = make_draw(seed)
-        self.states = {}
-        self.index = EndpointIndex()
+        self.endpoint_states = {}
+        self.endpoint_index = EndpointIndex()
         self.queue = RequestQueue()
-        self.flights = {}
+        self.in_flight_by_id = {}
         self.pending_decode = []
-        self.suspects = SuspectList()
-        self.peers = {}
-        self.cell_hosts = []
-        self.cache = CacheTable()
-        self.outputs = OutputEstimate()
-        self.meter = DemandMeter()
-        self.budget = RetryBudget(policy.retry_ratio)
-        self.promises = Promises()
-        self.prefilled_s = {}
-        self.explained = OrderedDict()
-        self.rates = (4000.0, 1000.0, 8)
-        self.resume_times_s = set()
+        self.suspect_queue = SuspectQueue()
+        self.peer_updated_s = {}
+        self.cell_host_names = []
+        self.prefix_index = PrefixIndex()
+        self.output_lengths = OutputLengthEstimator()
+        self.demand_meter = DemandMeter()
+        self.retry_budget = RetryBudget(policy.retry_ratio)
+        self.retry_reservations = RetryReservations()
+        self.awaiting_decode_s = {}
+        self.histories = OrderedDict()
+        self.engine_rates = (4000.0, 1000.0, 8)
+        self.pause_ends_s = set()
 
     def set_policy(self, now_s: float, policy: DeploymentPolicy) -> None:
-        """Take new settings; requests already admitted keep their class."""
+        """Apply new settings; admitted requests keep the rank of their class."""
         self.policy = policy
-        self.budget.ratio = policy.retry_ratio
+        self.retry_budget.ratio = policy.retry_ratio
 
     def set_endpoints(self, now_s: float, endpoints: list[Endpoint]) -> list[Action]:
-        """Take the list of endpoints; one that is gone or leaving gets no new work.
+        """Replace the list of endpoints; removed or leaving ones get no new work.
 
-        Work that runs on a leaving endpoint goes on there to its end.
+        Requests that run on such an endpoint continue there to their end.
         """
         listed = set()
         for endpoint in endpoints:
             listed.add(endpoint.name)
-            state = self.states.get(endpoint.name)
+            state = self.endpoint_states.get(endpoint.name)
             if state is None:
-                state = self.states[endpoint.name] = EndpointState(endpoint)
+                state = self.endpoint_states[endpoint.name] = EndpointState(endpoint)
             state.leaving = endpoint.leaving
             state.zone = endpoint.zone
-            if state.report_at_s is None:
+            if state.reported_s is None:
                 state.role = endpoint.role
-            self.index.set_member(state, not endpoint.leaving)
-        for name in list(self.states):
+            self.endpoint_index.set_indexed(state, not endpoint.leaving)
+        for name in list(self.endpoint_states):
             if name not in listed:
-                self._drop_endpoint(name)
+                self._remove_endpoint(name)
         return self._dispatch(now_s)
 
     def set_hosts(self, now_s: float, names: list[str]) -> None:
-        """Take the names of the other hosts that send work to these engines.
+        """Replace the names of the hosts that send work to these engines.
 
-        The news of their loads would come too late for what hangs on who they are.
+        Suspect requests are shared out by these names. Load updates also name the
+        hosts, but arrive too late for that.
         """
-        self.cell_hosts = names
+        self.cell_host_names = names
 
     def on_report(self, now_s: float, report: LoadReport) -> list[Action]:
-        """Take in an engine's load report."""
-        state = self.states.get(report.endpoint)
+        """Apply a load report of an engine."""
+        state = self.endpoint_states.get(report.endpoint)
         if state is None or not state.on_report(now_s, report):
             return []
-        self.index.update(state)
-        self.rates = (
+        self.endpoint_index.update(state)
+        self.engine_rates = (
             state.prefill_tokens_per_s,
             state.decode_tokens_per_s,
             state.slots,
@@ -145,24 +172,35 @@
     def on_peer_load(
         self, now_s: float, peer: str, load: dict[str, tuple[int, int]]
     ) -> list[Action]:
-        """Take in what a peer has in flight: requests, and prompt tokens to do."""
-        self.peers[peer] = now_s
-        self._forget_peers(now_s)
-        for name, state in self.states.items():
-            known = state.peers.get(peer)
+        """Apply a load update from a peer.
+
+        Parameters
+        ----------
+        now_s : float
+            The present time, in seconds.
+        peer : str
+            Name of the peer.
+        load : dict of str to (int, int)
+            Requests that the peer has in flight on each endpoint, and their prompt
+            tokens before prefill.
+        """
+        self.peer_updated_s[peer] = now_s
+        self._remove_silent_peers(now_s)
+        for name, state in self.endpoint_states.items():
+            old = state.load_by_peer.get(peer)
             new = load.get(name)
             if new is not None:
                 new = (new[0], new[1])
-            if known == new:
+            if old == new:
                 continue
             state.on_peer_load(peer, new)
-            self.index.update(state)
+            self.endpoint_index.update(state)
         return self._dispatch(now_s)
 
     def own_load(self) -> dict[str, tuple[int, int]]:
-        """Return what this host has in flight, for its peers."""
+        """Return this host's load by endpoint, in the form of `on_peer_load`."""
         load = {}
-        for name, state in self.states.items():
+        for name, state in self.endpoint_states.items():
             if state.own_running:
                 load[name] = (state.own_running, state.own_prompt_tokens)
         return load
@@ -170,175 +208,185 @@
     def on_cache_events(
         self, now_s: float, endpoint: str, add: list[int], remove: list[int]
     ) -> None:
-        """Take in an engine's cache events."""
+        """Apply cache events of an engine: hashes of added and removed prefixes."""
         for prefix_hash in remove:
-            self.cache.remove(endpoint, prefix_hash)
+            self.prefix_index.remove(endpoint, prefix_hash)
         for prefix_hash in add:
-            self.cache.add(endpoint, prefix_hash)
+            self.prefix_index.add(endpoint, prefix_hash)
 
     def submit(self, now_s: float, request: Request) -> list[Action]:
-        """Decide on a new request: start it, refuse it, or let it wait."""
-        flight = self._make_flight(request)
-        self.budget.on_first_attempt()
-        refusal = self._refusal(now_s, flight)
+        """Start, queue or refuse a new request."""
+        in_flight = self._create_in_flight(request)
+        self.retry_budget.on_first_attempt()
+        refusal = self._check_admission(now_s, in_flight)
         if refusal is not None:
-            return [self._note_refusal(now_s, refusal, request.fingerprint)]
-        self.meter.add(now_s, flight.rank, *flight.work)
-        self.flights[request.request_id] = flight
-        self._note(now_s, request.request_id, "admitted", queued=len(self.queue))
-        self._enqueue(now_s, flight)
+            return [self._record_refusal(now_s, refusal, request.fingerprint)]
+        self.demand_meter.add(now_s, in_flight.rank, *in_flight.work)
+        self.in_flight_by_id[request.request_id] = in_flight
+        self._record(now_s, request.request_id, "admitted", queued=len(self.queue))
+        self._enqueue(now_s, in_flight)
         return self._dispatch(now_s)
 
     def on_prefill_done(self, now_s: float, request_id: str) -> list[Action]:
-        """Place the second stage of a request whose prompt has been processed."""
-        flight = self.flights.get(request_id)
-        if flight is None or flight.stage != "prefill":
+        """Queue a request for decode after the end of its prefill stage."""
+        in_flight = self.in_flight_by_id.get(request_id)
+        if in_flight is None or in_flight.stage != "prefill":
             return []
-        self.suspects.on_survived(request_id)
-        holder = flight.state
+        self.suspect_queue.end_trial(request_id)
+        holder = in_flight.endpoint_state
         holder.health.on_success()
-        self._leave(flight)
-        # The prompt's cache stays on the prefill engine until it is fetched.
-        flight.cache_holder = holder
-        known_s = self.prefilled_s.get(flight.rank, 0.0)
-        self.prefilled_s[flight.rank] = known_s + flight.work.decode_s
-        holder.own_kv_tokens += flight.kv_tokens()
-        flight.waits_decode = True
-        self.pending_decode.append(flight)
+        self._detach(in_flight)
+        # The KV cache stays on the prefill endpoint until the decode endpoint has
+        # fetched it.
+        in_flight.kv_holder = holder
+        queued_s = self.awaiting_decode_s.get(in_flight.rank, 0.0)
+        self.awaiting_decode_s[in_flight.rank] = queued_s + in_flight.work.decode_s
+        holder.own_kv_tokens += in_flight.kv_tokens()
+        in_flight.awaiting_decode = True
+        self.pending_decode.append(in_flight)
         return self._dispatch(now_s)
 
     def on_first_token(self, now_s: float, request_id: str) -> None:
-        """Note that the first token has come, so that the prompt is done."""
-        flight = self.flights.get(request_id)
-        if flight is None or flight.state is None:
+        """Record the first token of a request, which shows that its prefill is done."""
+        in_flight = self.in_flight_by_id.get(request_id)
+        if in_flight is None or in_flight.endpoint_state is None:
             return
-        flight.first_token_s = now_s
-        self.suspects.on_survived(request_id)
+        in_flight.first_token_s = now_s
+        self.suspect_queue.end_trial(request_id)
         if self.quarantine is not None:
-            fingerprint = flight.request.fingerprint
-            self.quarantine.on_first_token(fingerprint, flight.state.name)
-        self._release_cache(flight)
-        flight.state.own_prompt_tokens -= flight.prompt_tokens
-        flight.prompt_tokens = 0
-        self.index.update(flight.state)
+            fingerprint = in_flight.request.fingerprint
+            self.quarantine.on_first_token(fingerprint, in_flight.endpoint_state.name)
+        self._release_cache(in_flight)
+        in_flight.endpoint_state.own_prompt_tokens -= in_flight.pending_prompt_tokens
+        in_flight.pending_prompt_tokens = 0
+        self.endpoint_index.update(in_flight.endpoint_state)
 
     def on_done(
         self, now_s: float, request_id: str, output_tokens: int
     ) -> list[Action]:
-        """Note that the whole answer has come."""
-        flight = self.flights.pop(request_id, None)
-        if flight is None:
+        """Record that the answer of a request is complete."""
+        in_flight = self.in_flight_by_id.pop(request_id, None)
+        if in_flight is None:
             return []
-        self.suspects.on_survived(request_id)
-        if flight.state is not None:
-            flight.state.health.on_success()
-            if flight.first_token_s is not None:
-                seconds = now_s - flight.first_token_s
-                flight.state.on_pace(seconds, output_tokens)
-        self._leave(flight)
-        request = flight.request
-        self.outputs.on_answer(
+        self.suspect_queue.end_trial(request_id)
+        if in_flight.endpoint_state is not None:
+            in_flight.endpoint_state.health.on_success()
+            if in_flight.first_token_s is not None:
+                decode_s = now_s - in_flight.first_token_s
+                in_flight.endpoint_state.update_speed(decode_s, output_tokens)
+        self._detach(in_flight)
+        request = in_flight.request
+        self.output_lengths.add_answer(
             request.class_name, request.max_output_tokens, output_tokens
         )
-        self._note(now_s, request_id, "done", output_tokens=output_tokens)
+        self._record(now_s, request_id, "done", output_tokens=output_tokens)
         return self._dispatch(now_s)
 
     def on_failed(
         self, now_s: float, request_id: str, reason: str, ran: str
     ) -> list[Action]:
-        """Note that an attempt failed; retry it or give its final refusal at once.
+        """Retry a request after a failed attempt, or refuse it at once.
 
         Parameters
         ----------
         now_s : float
             The present time, in seconds.
         request_id : str
-            The request.
+            Id of the request.
         reason : {"connect", "refused", "broken", "error", "crossed", "crash"}
-            How it failed.
+            How the attempt failed.
         ran : {"no", "unknown"}
-            Whether anything of the attempt may have run.
+            Whether any part of the attempt may have run.
         """
-        flight = self.flights.get(request_id)
-        if flight is None:
+        in_flight = self.in_flight_by_id.get(request_id)
+        if in_flight is None:
             return []
-        state = flight.state
+        state = in_flight.endpoint_state
         peer = state.name if state is not None else ""
         if state is not None:
-            flight.tried.add(state.name)
+            in_flight.failed_endpoints.add(state.name)
             if reason in ("refused", "connect"):
-                state.paused_until_s = now_s + REFUSED_PAUSE_S
-                self.resume_times_s.add(state.paused_until_s)
+                state.paused_until_s = now_s + REFUSAL_PAUSE_S
+                self.pause_ends_s.add(state.paused_until_s)
             state.health.on_failure(now_s, reason)
             if state.health.is_open():
-                self.resume_times_s.add(state.health.until_s)
-            if state.health.failures:
-                self.resume_times_s.add(state.health.once_from_s())
-        self._leave(flight)
+                self.pause_ends_s.add(state.health.open_until_s)
+            if state.health.consecutive_failures:
+                self.pause_ends_s.add(state.health.non_idempotent_from_s())
+        self._detach(in_flight)
         if ran != "no":
-            flight.ran = "unknown"
-        self._note(now_s, request_id, "failed", reason=reason, ran=ran, endpoint=peer)
-        self.suspects.remove(request_id)
+            in_flight.ran = "unknown"
+        self._record(now_s, request_id, "failed", reason=reason, ran=ran, endpoint=peer)
+        self.suspect_queue.remove(request_id)
         actions = []
-        if self._verdict(flight) == "convicted":
-            del self.flights[request_id]
+        if self._status_of(in_flight) == "convicted":
+            del self.in_flight_by_id[request_id]
             refusal = Refuse(
-                request_id, "crashing_request", flight.ran, None, reason, peer
+                request_id, "crashing_request", in_flight.ran, None, reason, peer
             )
-            actions.append(self._note_refusal(now_s, refusal))
-        elif self._retries(now_s, flight, ran, reason):
-            flight.attempt += 1
-            self._forgive(flight, peer)
-            self._enqueue(now_s, flight)
+            actions.append(self._record_refusal(now_s, refusal))
+        elif self._should_retry(now_s, in_flight, ran, reason):
+            in_flight.attempt += 1
+            self._allow_failed_endpoints(in_flight, peer)
+            self._enqueue(now_s, in_flight)
         else:
-            del self.flights[request_id]
+            del self.in_flight_by_id[request_id]
             refusal = Refuse(
-                request_id, "endpoint_failed", flight.ran, None, reason, peer
+                request_id, "endpoint_failed", in_flight.ran, None, reason, peer
             )
-            actions.append(self._note_refusal(now_s, refusal))
+            actions.append(self._record_refusal(now_s, refusal))
         return actions + self._dispatch(now_s)
 
     def cancel(self, now_s: float, request_id: str) -> list[Action]:
-        """Forget a request whose caller has gone away."""
-        flight = self.flights.pop(request_id, None)
-        if flight is None:
+        """Remove a request whose caller has disconnected."""
+        in_flight = self.in_flight_by_id.pop(request_id, None)
+        if in_flight is None:
             return []
         self.queue.remove(request_id)
-        self.suspects.remove(request_id)
-        if flight.waits_decode:
-            self.pending_decode.remove(flight)
-        self._leave(flight)
-        self._note(now_s, request_id, "cancelled")
+        self.suspect_queue.remove(request_id)
+        if in_flight.awaiting_decode:
+            self.pending_decode.remove(in_flight)
+        self._detach(in_flight)
+        self._record(now_s, request_id, "cancelled")
         return self._dispatch(now_s)
 
     def tick(self, now_s: float) -> list[Action]:
-        """Refuse what can't be on time any longer, and place what waits."""
+        """Refuse requests that have expired, and start those that have capacity."""
         return self._dispatch(now_s)
 
     def next_wakeup_s(self) -> float | None:
-        """Return when `tick` has to be called next, or None."""
-        times = [flight.request.deadline_s for flight in self.pending_decode]
-        for due_s in (self.queue.next_late_s(), self.suspects.next_s()):
+        """Return when `tick` has to be called next, in seconds, or None."""
+        times = [in_flight.request.deadline_s for in_flight in self.pending_decode]
+        for due_s in (self.queue.next_expiry_s(), self.suspect_queue.next_event_s()):
             if due_s is not None:
                 times.append(due_s)
         if times or self.queue:
-            # Every end of a pause counts, not the last one alone: where reports come
-            # late, work would wait past the first endpoint that is back.
-            times.extend(self.resume_times_s)
+            # The end of every pause counts, not only of the last one: without a load
+            # report in between, requests would wait although the endpoint whose pause
+            # ended first could take them.
+            times.extend(self.pause_ends_s)
         return min(times, default=None)
 
     def explain(self, request_id: str) -> list[dict]:
-        """Return what was decided on a request, oldest first."""
-        return list(self.explained.get(request_id, ()))
+        """Return the decisions on a request, oldest first."""
+        return list(self.histories.get(request_id, ()))
 
     def demand(self) -> dict:
-        """Return the arriving and the waiting work, for the steward's planner."""
+        """Return the arriving and queued work, for the steward's planners.
+
+        Returns
+        -------
+        dict
+            ``host``, the total ``prefill_rate`` and ``decode_rate`` in engine seconds
+            per second, and ``classes`` with a row for each rank: rank, prefill rate,
+            decode rate, and queued prefill and decode work in engine seconds.
+        """
         classes = []
-        for rank, (prefill, decode) in sorted(self.meter.plan_rates.items()):
+        for rank, (prefill, decode) in sorted(self.demand_meter.planning_rates.items()):
             queued = self.queue.work_by_rank.get(rank, Work(0.0, 0.0))
-            decode_s = queued.decode_s + self.prefilled_s.get(rank, 0.0)
+            decode_s = queued.decode_s + self.awaiting_decode_s.get(rank, 0.0)
             classes.append([rank, prefill, decode, queued.prefill_s, decode_s])
-        rates = self.meter.rates.values()
+        rates = self.demand_meter.fast_rates.values()
         return {
             "host": self.host,
             "prefill_rate": sum(item[0] for item in rates),
@@ -346,279 +394,324 @@
             "classes": classes,
         }
 
-    def _make_flight(self, request):
+    def _create_in_flight(self, request):
+        """Return the state of a new request, with its expected work."""
         classes = self.policy.classes
         policy = classes.get(request.class_name) or classes[self.policy.default_class]
-        output_tokens, high_tokens = self.outputs.expect_tokens(
+        output_tokens, high_tokens = self.output_lengths.estimate_tokens(
             request.class_name, request.max_output_tokens
         )
-        prefill_rate, decode_rate, _ = self.rates
+        prefill_rate, decode_rate, _ = self.engine_rates
         work = Work(request.prompt_tokens / prefill_rate, output_tokens / decode_rate)
-        return Flight(request, policy.rank, work, output_tokens, high_tokens)
+        return InFlightRequest(request, policy.rank, work, output_tokens, high_tokens)
 
-    def _service_s(self, flight):
-        prefill_rate, decode_rate, slots = self.rates
-        decode_s = flight.high_output_tokens * slots / decode_rate
-        return flight.request.prompt_tokens / prefill_rate + decode_s
+    def _service_s(self, in_flight):
+        """Return a high estimate of the time from start to last token, in seconds."""
+        prefill_rate, decode_rate, slots = self.engine_rates
+        decode_s = in_flight.high_output_tokens * slots / decode_rate
+        return in_flight.request.prompt_tokens / prefill_rate + decode_s
 
     def _wait_s(self, rank):
-        """Return the projected wait for a start of this class, in seconds."""
-        ahead = self.queue.ahead(rank)
-        prefilled_s = 0.0
-        for other, decode_s in self.prefilled_s.items():
+        """Return the projected queueing time of a request of a rank, in seconds."""
+        ahead = self.queue.work_ahead(rank)
+        awaiting_decode_s = 0.0
+        for other, decode_s in self.awaiting_decode_s.items():
             if other <= rank:
-                prefilled_s += decode_s
-        work = Work(ahead.prefill_s, ahead.decode_s + prefilled_s)
-        return admission.drain_s(work, self._capacity())
+                awaiting_decode_s += decode_s
+        work = Work(ahead.prefill_s, ahead.decode_s + awaiting_decode_s)
+        return admission.drain_time_s(work, self._capacity())
 
     def _capacity(self):
-        """Return this host's share of the engines: its peers drain theirs as well."""
-        share = 1.0 / (1 + len(self.peers))
-        rows = self.index.by_role
+        """Return this host's share of the engines, which its peers use as well."""
+        share = 1.0 / (1 + len(self.peer_updated_s))
+        endpoints = self.endpoint_index.by_role
         return Capacity(
-            len(rows["prefill"]) * share,
-            len(rows["decode"]) * share,
-            len(rows["mixed"]) * share,
+            len(endpoints["prefill"]) * share,
+            len(endpoints["decode"]) * share,
+            len(endpoints["mixed"]) * share,
         )
 
-    def _refusal(self, now_s, flight):
-        request = flight.request
+    def _check_admission(self, now_s, in_flight):
+        """Return the refusal of a new request, or None to admit it."""
+        request = in_flight.request
         request_id = request.request_id
-        if self._verdict(flight) == "convicted":
+        if self._status_of(in_flight) == "convicted":
             return Refuse(request_id, "crashing_request", "no", None, "admit", "")
-        if all(state.leaving for state in self.states.values()):
-            retry_s = NO_ENDPOINT_RETRY_S
+        if all(state.leaving for state in self.endpoint_states.values()):
+            retry_s = NO_ENDPOINT_RETRY_AFTER_S
             return Refuse(request_id, "no_endpoint", "no", retry_s, "admit", "")
         if now_s >= request.deadline_s:
             return Refuse(request_id, "deadline_passed", "no", None, "admit", "")
-        if self.promises.take(now_s, request.fingerprint):
-            flight.promised = True
+        if self.retry_reservations.redeem(now_s, request.fingerprint):
+            in_flight.has_reservation = True
             return None
         if not self.queue:
             return None
-        wait_s = self._wait_s(flight.rank)
-        slack_s = request.deadline_s - now_s - self._service_s(flight)
-        if wait_s <= slack_s and len(self.queue) < admission.MAX_QUEUED:
+        wait_s = self._wait_s(in_flight.rank)
+        slack_s = request.deadline_s - now_s - self._service_s(in_flight)
+        if wait_s <= slack_s and len(self.queue) < admission.MAX_QUEUED_REQUESTS:
             return None
         retry_s = admission.retry_after_s(wait_s, slack_s)
         return Refuse(request_id, "overloaded", "no", retry_s, "admit", "")
 
-    def _verdict(self, flight):
+    def _status_of(self, in_flight):
+        """Return the crash status of a request, see `Quarantine.status_of`."""
         if self.quarantine is None:
             return "clear"
-        return self.quarantine.status_of(flight.request.fingerprint)
-
-    def _suspect_engines(self):
-        rows = self.index.by_role
-        return max(len(rows["prefill"]), len(rows["mixed"]))
-
-    def _enqueue(self, now_s, flight):
-        request = flight.request
-        if self._verdict(flight) == "suspect":
-            engines = max(1, self._suspect_engines())
+        return self.quarantine.status_of(in_flight.request.fingerprint)
+
+    def _count_suspect_engines(self):
+        """Return the number of prefill or of mixed engines, whichever is larger."""
+        endpoints = self.endpoint_index.by_role
+        return max(len(endpoints["prefill"]), len(endpoints["mixed"]))
+
+    def _enqueue(self, now_s, in_flight):
+        """Add an admitted request to the queue, or to the suspects if it is one."""
+        request = in_flight.request
+        if self._status_of(in_flight) == "suspect":
+            engines = max(1, self._count_suspect_engines())
             _, wait_s = host_turn(self.host, self._other_hosts(), engines)
-            self.suspects.push(flight, now_s + wait_s)
+            self.suspect_queue.push(in_flight, now_s + wait_s)
             return
-        latest_s = admission.latest_start_s(request.deadline_s, self._service_s(flight))
+        latest_s = admission.latest_start_s(
+            request.deadline_s, self._service_s(in_flight)
+        )
         weight = self.policy.tenant_weights.get(request.tenant, 1.0)
-        # A caller that came back when it was told goes before the newcomers.
-        order_s = now_s if flight.promised else request.deadline_s
-        item = Queued(request, flight.rank, flight.work, latest_s, order_s)
+        # A caller that retried at the given time goes before new requests.
+        sort_s = now_s if in_flight.has_reservation else request.deadline_s
+        item = QueuedRequest(request, in_flight.rank, in_flight.work, latest_s, sort_s)
         self.queue.push(item, max(weight, 1e-3))
 
-    def _forgive(self, flight, last):
-        """Let a request go back to endpoints that failed it when no other is left.
+    def _allow_failed_endpoints(self, in_flight, last):
+        """Allow endpoints that failed a request again, if there is no other.
 
-        Failure guarded against: in a deployment of two engines both fail a request;
-        with nowhere to go it waits at the head of its class until its deadline, and
-        everything behind it waits too. Only the last one stays out, if it can.
+        If both engines of a small deployment failed a request, it would otherwise
+        wait at the head of its class until its deadline, and so would all requests
+        behind it. Only the endpoint that failed it last stays excluded, unless it is
+        the only one.
         """
-        usable = {state.name for state in self.states.values() if not state.leaving}
-        if usable - flight.tried:
+        usable = {
+            state.name for state in self.endpoint_states.values() if not state.leaving
+        }
+        if usable - in_flight.failed_endpoints:
             return
-        flight.tried = {last} if len(usable) > 1 else set()
+        in_flight.failed_endpoints = {last} if len(usable) > 1 else set()
 
-    def _forget_tried(self, flight):
-        """Let a request go where it has failed, when it has been everywhere."""
-        for row in self.index.by_role.values():
-            for _, state in row:
-                if state.name not in flight.tried:
+    def _allow_all_if_all_failed(self, in_flight):
+        """Allow all endpoints again for a request that failed on each of them."""
+        for entries in self.endpoint_index.by_role.values():
+            for _, state in entries:
+                if state.name not in in_flight.failed_endpoints:
                     return
-        flight.tried.clear()
+        in_flight.failed_endpoints.clear()
 
-    def _retries(self, now_s, flight, ran, reason):
-        if flight.attempt >= MAX_ATTEMPTS:
+    def _should_retry(self, now_s, in_flight, ran, reason):
+        """Return whether to retry after a failed attempt; may use the retry budget."""
+        if in_flight.attempt >= MAX_ATTEMPTS:
             return False
-        if now_s >= flight.request.deadline_s:
+        if now_s >= in_flight.request.deadline_s:
             return False
-        if not may_retry(ran, flight.request.idempotent):
+        if not may_retry(ran, in_flight.request.idempotent):
             return False
-        # A crash loses a batch that had been admitted, and suspects run one at a
-        # time: their retries can't add up to a storm.
-        return ran == "no" or reason == "crash" or self.budget.take()
+        # Retries after a crash need no budget: the crash affects only an admitted
+        # batch, whose requests are suspects and run one at a time, so that their
+        # retries cannot add up to a retry storm.
+        return ran == "no" or reason == "crash" or self.retry_budget.take()
 
     def _dispatch(self, now_s):
-        """Start whatever has room now, after refusing what has become too late."""
-        self.resume_times_s = {at_s for at_s in self.resume_times_s if at_s > now_s}
-        self.meter.roll(now_s)
-        actions = self._refuse_late(now_s)
-        actions += self._run_suspects(now_s)
-        for flight in list(self.pending_decode):
-            start = self._place(now_s, flight, ("decode", "mixed"), "decode")
+        """Refuse expired requests, then start all requests that have capacity."""
+        self.pause_ends_s = {at_s for at_s in self.pause_ends_s if at_s > now_s}
+        self.demand_meter.update(now_s)
+        actions = self._refuse_expired(now_s)
+        actions += self._dispatch_suspects(now_s)
+        for in_flight in list(self.pending_decode):
+            start = self._place(now_s, in_flight, ("decode", "mixed"), "decode")
             if start is not None:
-                self.pending_decode.remove(flight)
-                flight.waits_decode = False
+                self.pending_decode.remove(in_flight)
+                in_flight.awaiting_decode = False
                 actions.append(start)
-        for key in list(self.queue.lanes):
+        for key in list(self.queue.fair_queues):
             while True:
                 item = self.queue.peek(key)
                 if item is None:
                     break
-                start = self._place_first(now_s, self.flights[item.request.request_id])
+                start = self._place_new(
+                    now_s, self.in_flight_by_id[item.request.request_id]
+                )
                 if start is None:
-                    # The lanes after it are tried as well: the room that this one
-                    # waits for is refused to them too, by the same limits.
+                    # The queues after it are tried as well. They cannot take the
+                    # capacity that this one waits for, as the same limits hold for
+                    # them.
                     break
                 self.queue.pop(key)
                 actions.append(start)
         return actions
 
-    def _run_suspects(self, now_s):
-        """Run suspects one at a time, and let go those that are clear again."""
+    def _dispatch_suspects(self, now_s):
+        """Start the next suspect; queue or refuse those that are no longer suspect."""
         actions = []
-        for request_id, flight in list(self.suspects.waiting.items()):
-            verdict = self._verdict(flight)
-            if verdict == "suspect" and now_s < flight.request.deadline_s:
+        for request_id, in_flight in list(self.suspect_queue.waiting.items()):
+            status = self._status_of(in_flight)
+            if status == "suspect" and now_s < in_flight.request.deadline_s:
                 continue
-            self.suspects.remove(request_id)
-            if verdict == "clear":
-                self._enqueue(now_s, flight)
+            self.suspect_queue.remove(request_id)
+            if status == "clear":
+                self._enqueue(now_s, in_flight)
                 continue
-            if verdict == "suspect":
-                actions.append(self._give_up(now_s, request_id, "quarantine"))
+            if status == "suspect":
+                actions.append(self._refuse_overloaded(now_s, request_id, "quarantine"))
                 continue
-            del self.flights[request_id]
+            del self.in_flight_by_id[request_id]
             refusal = Refuse(
-                request_id, "crashing_request", flight.ran, None, "quarantine", ""
+                request_id, "crashing_request", in_flight.ran, None, "quarantine", ""
             )
-            actions.append(self._note_refusal(now_s, refusal))
-        flight = self.suspects.first(now_s)
-        # While a crash is being judged, one of the suspects is about to be convicted.
-        if flight is None or self.quarantine.pending_crashes:
+            actions.append(self._record_refusal(now_s, refusal))
+        in_flight = self.suspect_queue.next_ready(now_s)
+        # No suspect starts while a crash waits for its evaluation, as one of them is
+        # about to be convicted.
+        if in_flight is None or self.quarantine.pending_crashes:
             return actions
-        state = self._suspect_endpoint(now_s, flight)
+        state = self._choose_suspect_endpoint(now_s, in_flight)
         if state is None:
             return actions
-        self.suspects.start(flight.request.request_id)
+        self.suspect_queue.start_trial(in_flight.request.request_id)
         stage = "prefill" if state.role == "prefill" else "whole"
-        actions.append(self._start(now_s, flight, state, stage))
+        actions.append(self._start(now_s, in_flight, state, stage))
         return actions
 
     def _other_hosts(self):
-        """Return the hosts that may try suspects too, whether heard of or only known.
+        """Return the other hosts that may try suspects, with or without load updates.
 
-        Hosts that had not heard each other's load yet took the same engine, and an
-        innocent suspect was lost together with the guilty one.
+        If only hosts with a received load update counted, hosts that had not yet
+        received each other's would choose the same engine, and a harmless suspect
+        would be lost together with the one that crashes engines.
         """
-        return sorted({*self.peers, *self.cell_hosts} - {self.host})
+        return sorted({*self.peer_updated_s, *self.cell_host_names} - {self.host})
 
-    def _suspect_endpoint(self, now_s, flight):
+    def _choose_suspect_endpoint(self, now_s, in_flight):
+        """Return the endpoint on which to try a suspect now, or None."""
         names = []
         usable = {}
         for role in ("prefill", "mixed"):
-            for _, state in self.index.by_role[role]:
+            for _, state in self.endpoint_index.by_role[role]:
                 names.append((role != "prefill", state.name))
-                # Its second run must be elsewhere: the engine may be the cause.
-                if state.name in flight.tried:
+                # The next trial has to be on another engine, as the engine itself
+                # may be the cause of the crash.
+                if state.name in in_flight.failed_endpoints:
                     continue
-                if state.takes_work(now_s, flight.request.idempotent):
+                if state.accepts_work(now_s, in_flight.request.idempotent):
                     usable[state.name] = state
-        name = own_engine(self.host, self._other_hosts(), sorted(names), usable)
+        name = choose_suspect_engine(
+            self.host, self._other_hosts(), sorted(names), usable
+        )
         return usable.get(name)
 
-    def _refuse_late(self, now_s):
-        """Give the final refusal to what waits but can't be on time any longer."""
+    def _refuse_expired(self, now_s):
+        """Refuse waiting requests that can no longer meet their deadlines."""
         actions = []
         while True:
-            item = self.queue.pop_late(now_s)
+            item = self.queue.pop_expired(now_s)
             if item is None:
                 break
-            actions.append(self._give_up(now_s, item.request.request_id, "queue"))
-        for flight in list(self.pending_decode):
-            if now_s < flight.request.deadline_s:
+            actions.append(
+                self._refuse_overloaded(now_s, item.request.request_id, "queue")
+            )
+        for in_flight in list(self.pending_decode):
+            if now_s < in_flight.request.deadline_s:
                 continue
-            self.pending_decode.remove(flight)
-            # The prompt has run, so that "not run" would be false.
-            flight.ran = "unknown"
-            request_id = flight.request.request_id
-            actions.append(self._give_up(now_s, request_id, "decode"))
+            self.pending_decode.remove(in_flight)
+            # Prefill has run, so the refusal must not say that nothing ran.
+            in_flight.ran = "unknown"
+            request_id = in_flight.request.request_id
+            actions.append(self._refuse_overloaded(now_s, request_id, "decode"))
         return actions
 
-    def _give_up(self, now_s, request_id, step):
-        flight = self.flights.pop(request_id)
-        wait_s = self._wait_s(flight.rank)
+    def _refuse_overloaded(self, now_s, request_id, step):
+        """Remove a request that waited too long; return its refusal."""
+        in_flight = self.in_flight_by_id.pop(request_id)
+        wait_s = self._wait_s(in_flight.rank)
         retry_s = admission.retry_after_s(wait_s, 0.0)
-        refusal = Refuse(request_id, "overloaded", flight.ran, retry_s, step, "")
-        return self._note_refusal(now_s, refusal, flight.request.fingerprint)
+        refusal = Refuse(request_id, "overloaded", in_flight.ran, retry_s, step, "")
+        return self._record_refusal(now_s, refusal, in_flight.request.fingerprint)
 
-    def _forget_peers(self, now_s):
-        for peer, heard_s in list(self.peers.items()):
-            if now_s - heard_s < PEER_SILENT_S:
+    def _remove_silent_peers(self, now_s):
+        """Remove the load of peers that have sent no update for `PEER_TIMEOUT_S`."""
+        for peer, updated_s in list(self.peer_updated_s.items()):
+            if now_s - updated_s < PEER_TIMEOUT_S:
                 continue
-            del self.peers[peer]
-            for state in self.states.values():
+            del self.peer_updated_s[peer]
+            for state in self.endpoint_states.values():
                 state.on_peer_load(peer, None)
-                self.index.update(state)
+                self.endpoint_index.update(state)
 
-    def _place_first(self, now_s, flight):
+    def _place_new(self, now_s, in_flight):
+        """Start a queued request on a mixed or prefill endpoint; None if none can."""
         roles = ["mixed"]
-        # A prompt is processed apart only where its answer can be generated after.
-        # Work that is mostly prompt needs no room for that yet: its cache waits, and
-        # the prefill engines would idle while the decode engines are full.
-        if self._decode_room(now_s, flight):
+        # A separate prefill stage needs an endpoint that can decode afterwards. For
+        # prefill-heavy requests it may be full now: their KV cache can wait, and
+        # prefill engines would idle if these requests waited for a decode slot.
+        if self._has_decode_candidate(now_s, in_flight):
             roles.append("prefill")
-        return self._place(now_s, flight, roles, None)
+        return self._place(now_s, in_flight, roles, None)
 
-    def _decode_room(self, now_s, flight):
+    def _has_decode_candidate(self, now_s, in_flight):
+        """Return whether an endpoint could decode a request after its prefill."""
         for role in ("decode", "mixed"):
-            for state in self._shortlist(role, now_s, flight):
-                if flight.lane.mostly_prompt or has_decode_room(state, flight.lane):
+            for state in self._candidates(role, now_s, in_flight):
+                if in_flight.queue_key.prefill_heavy or has_decode_capacity(
+                    state, in_flight.queue_key
+                ):
                     return True
         return False
 
-    def _shortlist(self, role, now_s, flight):
-        idempotent = flight.request.idempotent
-        return self.index.shortlist(role, now_s, idempotent, flight.tried)
+    def _candidates(self, role, now_s, in_flight):
+        """Return the least loaded endpoints of a role that accept a request."""
+        idempotent = in_flight.request.idempotent
+        return self.endpoint_index.candidates(
+            role, now_s, idempotent, in_flight.failed_endpoints
+        )
 
-    def _room(self, state, flight):
-        if not has_prefill_room(state, flight.lane, flight.kv_tokens()):
+    def _has_capacity(self, state, in_flight):
+        """Return whether an endpoint can start a request without a long wait."""
+        if not has_prefill_capacity(state, in_flight.queue_key, in_flight.kv_tokens()):
             return False
-        return state.role == "prefill" or has_decode_room(state, flight.lane)
+        return state.role == "prefill" or has_decode_capacity(
+            state, in_flight.queue_key
+        )
+
+    def _place(self, now_s, in_flight, roles, stage):
+        """Start a request on an endpoint of one of the roles; None if none can.
 
-    def _place(self, now_s, flight, roles, stage):
-        names, parts = self.cache.longest(flight.request.prefix_hashes)
-        roomy = []
+        A ``stage`` of None means a first stage, whose kind follows from the role.
+        """
+        names, n_blocks = self.prefix_index.longest_match(
+            in_flight.request.prefix_hashes
+        )
+        candidates = []
         for role in roles:
-            for state in self._shortlist(role, now_s, flight):
-                # A second stage is sent at once: its cache stands on the prefill
-                # engine until it is fetched, and the engine orders what waits.
-                if stage is None and not self._room(state, flight):
+            for state in self._candidates(role, now_s, in_flight):
+                # A decode stage is sent without a capacity check: its KV cache
+                # occupies the prefill engine until it is fetched, and the decode
+                # engine orders waiting requests by priority.
+                if stage is None and not self._has_capacity(state, in_flight):
                     continue
-                roomy.append(state)
-        best, best_score = None, None
-        for state in self._draw_two(roomy, names):
-            cached = parts * PREFIX_TOKENS if state.name in names else 0
-            value = score(state, self.zone, cached)
-            if best is None or value < best_score:
-                best, best_score = state, value
+                candidates.append(state)
+        best, best_cost_s = None, None
+        for state in self._sample_candidates(candidates, names):
+            cached_tokens = (
+                n_blocks * TOKENS_PER_PREFIX_BLOCK if state.name in names else 0
+            )
+            cost_s = placement_cost_s(state, self.zone, cached_tokens)
+            if best is None or cost_s < best_cost_s:
+                best, best_cost_s = state, cost_s
         if best is None:
             return None
         if stage is None:
             stage = "prefill" if best.role == "prefill" else "whole"
-        return self._start(now_s, flight, best, stage)
+        return self._start(now_s, in_flight, best, stage)
 
-    def _draw_two(self, states, cached_names):
-        """Return two of the states by draw, and those with the prompt's prefix."""
+    def _sample_candidates(self, states, cached_names):
+        """Return two random endpoints, and those that have the prefix in cache."""
         if len(states) <= 2:
             return states
         first = self.draw(len(states))
@@ -629,55 +722,61 @@
                 drawn.append(state)
         return drawn
 
-    def _start(self, now_s, flight, state, stage):
-        flight.state = state
-        flight.first_token_s = None
-        flight.stage = stage
-        flight.started_s = now_s
+    def _start(self, now_s, in_flight, state, stage):
+        """Count a request on an endpoint and return the action that starts it."""
+        in_flight.endpoint_state = state
+        in_flight.first_token_s = None
+        in_flight.stage = stage
+        in_flight.started_s = now_s
         state.health.on_start()
         state.own_running += 1
-        state.own_kv_tokens += flight.kv_tokens()
+        state.own_kv_tokens += in_flight.kv_tokens()
         if stage != "decode":
-            flight.prompt_tokens = flight.request.prompt_tokens
-            state.own_prompt_tokens += flight.prompt_tokens
-        self.index.update(state)
-        request_id = flight.request.request_id
-        self._note(now_s, request_id, "start", endpoint=state.name, stage=stage)
-        return Start(request_id, state.name, stage, flight.rank, flight.attempt)
-
-    def _release_cache(self, flight):
-        if flight.cache_holder is None:
+            in_flight.pending_prompt_tokens = in_flight.request.prompt_tokens
+            state.own_prompt_tokens += in_flight.pending_prompt_tokens
+        self.endpoint_index.update(state)
+        request_id = in_flight.request.request_id
+        self._record(now_s, request_id, "start", endpoint=state.name, stage=stage)
+        return Start(request_id, state.name, stage, in_flight.rank, in_flight.attempt)
+
+    def _release_cache(self, in_flight):
+        """Stop counting a request's KV cache on its prefill endpoint."""
+        if in_flight.kv_holder is None:
             return
-        flight.cache_holder.own_kv_tokens -= flight.kv_tokens()
-        flight.cache_holder = None
-        left_s = self.prefilled_s[flight.rank] - flight.work.decode_s
-        self.prefilled_s[flight.rank] = max(0.0, left_s)
-
-    def _leave(self, flight):
-        self._release_cache(flight)
-        state = flight.state
+        in_flight.kv_holder.own_kv_tokens -= in_flight.kv_tokens()
+        in_flight.kv_holder = None
+        remaining_s = self.awaiting_decode_s[in_flight.rank] - in_flight.work.decode_s
+        self.awaiting_decode_s[in_flight.rank] = max(0.0, remaining_s)
+
+    def _detach(self, in_flight):
+        """Stop counting a request on the endpoints that it uses."""
+        self._release_cache(in_flight)
+        state = in_flight.endpoint_state
         if state is None:
             return
         state.own_running -= 1
-        state.own_kv_tokens -= flight.kv_tokens()
-        state.own_prompt_tokens -= flight.prompt_tokens
-        flight.prompt_tokens = 0
-        flight.state = None
-        self.index.update(state)
-
-    def _drop_endpoint(self, name):
-        state = self.states[name]
+        state.own_kv_tokens -= in_flight.kv_tokens()
+        state.own_prompt_tokens -= in_flight.pending_prompt_tokens
+        in_flight.pending_prompt_tokens = 0
+        in_flight.endpoint_state = None
+        self.endpoint_index.update(state)
+
+    def _remove_endpoint(self, name):
+        """Remove an endpoint that is no longer listed."""
+        state = self.endpoint_states[name]
         state.leaving = True
-        self.index.set_member(state, False)
-        # The platform's list lags and may drop an engine for a moment: while work runs
-        # there, it is remembered, so that its load is known when it comes back.
+        self.endpoint_index.set_indexed(state, False)
+        # The platform's list lags and may omit an engine for a moment. The state is
+        # kept while requests run there, so that the load is known when the engine is
+        # listed again.
         if not state.own_running:
-            del self.states[name]
+            del self.endpoint_states[name]
 
-    def _note_refusal(self, now_s, refusal, fingerprint=None):
+    def _record_refusal(self, now_s, refusal, fingerprint=None):
+        """Record a refusal and return it; a fingerprint reserves the retry's place."""
         if fingerprint is not None and refusal.retry_after_s is not None:
-            self.promises.add(fingerprint, now_s + refusal.retry_after_s)
-        self._note(
+            self.retry_reservations.add(fingerprint, now_s + refusal.retry_after_s)
+        self._record(
             now_s,
             refusal.request_id,
             "refused",
@@ -686,10 +785,11 @@
         )
         return refusal
 
-    def _note(self, now_s, request_id, event, **details):
-        events = self.explained.get(request_id)
+    def _record(self, now_s, request_id, event, **details):
+        """Add an event to the decisions on a request."""
+        events = self.histories.get(request_id)
         if events is None:
-            events = self.explained[request_id] = []
-            if len(self.explained) > MAX_EXPLAINED:
-                self.explained.popitem(last=False)
+            events = self.histories[request_id] = []
+            if len(self.histories) > MAX_HISTORIES:
+                self.histories.popitem(last=False)
         events.append({"at_s": now_s, "event": event, **details})
--- a/libs/policy/gypsumusher_policy/types.py
+++ b/libs/policy/gypsumusher_policy/types.py
@@ -1,4 +1,4 @@
-"""Messages, settings and actions that the decision logic takes and returns."""
+"""Settings, inputs and actions of the decision logic."""
 
 from typing import NamedTuple
 
@@ -6,20 +6,20 @@
 
 
 class ClassPolicy(NamedTuple):
-    """Targets of one class of work.
+    """Latency targets of one class of requests.
 
     Parameters
     ----------
     name : str
         Name of the class.
     rank : int
-        0 is served first and refused last.
+        Priority: rank 0 is served first and refused last.
     first_token_s : float
-        Target for the wait until the first token, in seconds.
+        Target for the time to the first token, in seconds.
     between_tokens_s : float
         Target for the time between two tokens, in seconds.
     deadline_s : float
-        Default time from arrival to the whole answer, in seconds.
+        Default time from arrival to the complete answer, in seconds.
     """
 
     name: str
@@ -30,32 +30,32 @@
 
 
 class DeploymentPolicy(NamedTuple):
-    """Settings of one deployment that the decisions depend on.
+    """Settings of one deployment that its decisions depend on.
 
     Parameters
     ----------
     name : str
         Name of the deployment.
     classes : dict of str to ClassPolicy
-        The classes of work, by name.
+        The classes of requests, by name.
     default_class : str
-        Class of a request that names none, or one that is unknown.
+        Class of a request that names no class or an unknown one.
     tenant_weights : dict of str to float
-        Fair-share weight of each tenant; 1 when absent.
+        Fair-share weight of each tenant; 1 if absent.
     role_change_price_s : float
-        Engine seconds that one role change costs on top of its own time.
+        Cost of one role change in addition to its duration, in engine seconds.
     role_change_s : float
-        Seconds for which a role change takes an engine away.
+        Time for which a role change takes an engine out of service, in seconds.
     dwell_s : float
         Least time between two role changes of one engine, in seconds.
     shifting : bool
-        Whether roles may be changed at all.
+        Whether engines may change their role.
     retry_ratio : float
-        Retries allowed for each first attempt, over the long run.
+        Retries allowed per first attempt in the long run.
     cell_hosts : int
-        Entry hosts that serve this deployment.
+        Number of entry hosts that serve the deployment.
     loads_at_once : int
-        Loads from the weight store that may run at the same time.
+        Largest number of concurrent model loads from the weight store.
     """
 
     name: str
@@ -77,25 +77,25 @@
     Parameters
     ----------
     request_id : str
-        Unique within the host.
+        Id, unique within the host.
     tenant : str
-        Account whose fair share the work counts against.
+        Client account whose fair share the request uses.
     class_name : str
-        Class of work.
+        Class of the request.
     prompt_tokens : int
         Length of the prompt, in tokens.
     max_output_tokens : int
-        Most tokens that the answer may have.
+        Largest length of the answer, in tokens.
     arrived_s : float
-        Arrival on the host's clock, in seconds.
+        Time of arrival on the host's clock, in seconds.
     deadline_s : float
-        Absolute time by which the whole answer is useful, in seconds.
+        Absolute time by which the answer has to be complete, in seconds.
     prefix_hashes : tuple of int
         Chained hashes of the prompt's prefixes, shortest first.
     idempotent : bool
         Whether it may run more than once.
     fingerprint : str
-        Hash of the content, the same for each repetition.
+        Hash of the content, the same for each retry by the caller.
     """
 
     request_id: str
@@ -111,7 +111,7 @@
 
 
 class Endpoint(NamedTuple):
-    """One model engine as the host knows it.
+    """A model engine in the list of a deployment's endpoints.
 
     Parameters
     ----------
@@ -120,9 +120,9 @@
     zone : str
         Availability zone.
     role : {"prefill", "decode", "mixed"}
-        Kind of work that it takes.
+        Stages that it runs.
     leaving : bool
-        Whether it must get no new work.
+        Whether it is being removed and must not get new work.
     """
 
     name: str
@@ -132,30 +132,30 @@
 
 
 class LoadReport(NamedTuple):
-    """An engine's own report of its load, ``age_s`` old when it arrives.
+    """A load report of an engine.
 
     Parameters
     ----------
     endpoint : str
         Name of the engine.
     sequence : int
-        Number of the report; an older one never replaces a newer one.
+        Sequence number; a report with a lower or the same number is ignored.
     age_s : float
-        Age of the snapshot, in seconds.
-    role : str
-        Role at the time of the snapshot.
+        Age of the report at its arrival, in seconds.
+    role : {"prefill", "decode", "mixed"}
+        Role of the engine at the time of the report.
     draining : bool
         Whether the engine refuses new work.
     running, waiting : int
-        Requests in the batch, and before it.
+        Requests in the batch, and requests that wait for a slot in it.
     waiting_prompt_tokens : int
-        Prompt tokens not yet processed.
+        Prompt tokens that wait for prefill.
     slots : int
-        Most requests in the batch.
+        Largest number of requests in the batch.
     kv_used_tokens, kv_limit_tokens : int
-        Use and size of the KV cache, in tokens.
+        Used and total size of the KV cache, in tokens.
     prefill_tokens_per_s, decode_tokens_per_s : float
-        Rates of the whole engine; the second at a full batch.
+        Rates of the engine; the decode rate is that of a full batch.
     """
 
     endpoint: str
@@ -179,13 +179,13 @@
     Parameters
     ----------
     request_id : str
-        The request.
+        Id of the request.
     endpoint : str
         Name of the endpoint.
     stage : {"whole", "prefill", "decode"}
-        Part of the work that the endpoint does.
+        Stage that the endpoint runs; "whole" is prefill and decode.
     priority : int
-        Priority on the engine; smaller first.
+        Priority on the engine; a lower number goes first.
     attempt : int
         Number of the attempt, from 1.
     """
@@ -198,22 +198,23 @@
 
 
 class Refuse(NamedTuple):
-    """Action: answer a request with its final refusal.
+    """Action: refuse a request for good.
 
     Parameters
     ----------
     request_id : str
-        The request.
+        Id of the request.
     code : str
-        Reason, one of the caller interface's codes.
+        Reason, one of the codes of the caller interface.
     run : {"no", "unknown"}
-        Whether anything of it may have run.
+        Whether any part of the request may have run.
     retry_after_s : float or None
-        Seconds after which a repetition is expected to get in.
+        Time after which a retry is expected to be admitted, in seconds; None if a
+        retry has no prospect.
     step : str
-        Step at which the refusal arose.
+        Step in which the request was refused, or how its last attempt failed.
     peer : str
-        Endpoint at which it arose, or an empty string.
+        Endpoint of the failed attempt; empty if there was none.
     """
 
     request_id: str
@@ -225,14 +226,30 @@
 
 
 class RoleChange(NamedTuple):
-    """Order: give an endpoint another role."""
+    """Order: change the role of an endpoint.
+
+    Parameters
+    ----------
+    endpoint : str
+        Name of the endpoint.
+    role : {"prefill", "decode", "mixed"}
+        New role.
+    """
 
     endpoint: str
     role: str
 
 
 class ModelLoadOrder(NamedTuple):
-    """Order: load a version of a model on an endpoint."""
+    """Order: load a model version on an endpoint.
+
+    Parameters
+    ----------
+    endpoint : str
+        Name of the endpoint.
+    model, version : str
+        Model and version to load.
+    """
 
     endpoint: str
     model: str
@@ -240,7 +257,15 @@
 
 
 class Conviction(NamedTuple):
-    """Verdict: this content crashes engines and is refused for good."""
+    """Request content that was found to crash engines and is refused from now on.
+
+    Parameters
+    ----------
+    fingerprint : str
+        Fingerprint of the content.
+    endpoints : tuple of str
+        Names of the engines that crashed while they ran it.
+    """
 
     fingerprint: str
     endpoints: tuple[str, ...]
